--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -49,7 +49,7 @@
     Guard(
         "an order isn't sent under a grant that was given up",
         "entry/claims.py",
-        "if answer.generation > given_up:",
+        "if answer.generation > last_released:",
         "if True:",
         (f"{CLAIMS}::test_an_order_is_not_sent_under_a_grant_that_was_given_up",),
     ),
@@ -58,10 +58,7 @@
         "subscription.py",
         'return f"question/{message.question}"',
         'return f"question/{message.request}"',
-        (
-            f"{QUESTIONS}"
-            "::test_an_earlier_answer_about_a_claim_is_no_answer_to_the_next_ask",
-        ),
+        (f"{QUESTIONS}::test_duplicate_claim_answer_does_not_answer_the_next_request",),
     ),
     Guard(
         "an answer to an earlier life of a replica is none to this one",
@@ -314,7 +311,7 @@
     Guard(
         "doubt belongs to the request",
         "entry/dispatching.py",
-        "job.doubtful |= ended.outcome is Outcome.UNKNOWN",
+        "job.may_have_run |= result.outcome is Outcome.UNKNOWN",
         "pass",
         (f"{PROMISES}::test_request_that_ran_once_is_never_told_as_not_run",),
     ),
@@ -335,7 +332,7 @@
     Guard(
         "a protected request is claimed first",
         "entry/pipeline.py",
-        "else self._claimed.run",
+        "else self._claimed_runner.run",
         "else self._dispatcher.run",
         (f"{PROMISES}::test_promises_hold_under_any_schedule",),
     ),
--- a/src/ibishead/entry/__init__.py
+++ b/src/ibishead/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry program: takes callers' requests and relays whole answers."""
+"""The entry program: accepts callers' requests and relays complete answers."""
--- a/src/ibishead/entry/agents.py
+++ b/src/ibishead/entry/agents.py
@@ -1,7 +1,7 @@
-"""The entry host's links to agents, and the attempts that are open on them.
+"""The entry host's links to agents and the attempts that are open on them.
 
-An attempt belongs to an agent, not to a link. When a link is lost a new one is
-dialled at once and each open attempt is resumed on it by sequence.
+An attempt is bound to an agent, not to a link. When a link is lost a new one is
+dialled immediately, and each open attempt is resumed on it by sequence number.
 """
 
 import asyncio
@@ -36,20 +36,21 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between dials of an agent that can't be reached.
-REDIAL_INTERVAL = 0.25
+#: Seconds between connection attempts to an unreachable agent.
+REDIAL_INTERVAL_SECONDS = 0.25
 
-#: Seconds without a link after which an attempt counts as lost. Control has declared
-#: the agent gone by then, or some network path is broken for long.
-LOST_AFTER = 6.0
+#: Seconds without a link after which open attempts count as lost. By then control has
+#: declared the agent gone, or a network path has been broken for a long time.
+UNREACHABLE_TIMEOUT_SECONDS = 6.0
 
-#: Frames after which an acknowledgement goes out; the agent keeps them until then.
+#: Frames after which an acknowledgement is sent. The agent buffers frames until they
+#: are acknowledged.
 FRAMES_PER_ACKNOWLEDGE = 16
 
 
 @dataclass(frozen=True)
 class AttemptLost:
-    """The agent can't be asked any more; nobody knows how the attempt ended."""
+    """The agent has become unreachable, so the attempt's outcome is unknown."""
 
     reason: str
 
@@ -58,74 +59,77 @@
 
 
 class LinkObserver(Protocol):
-    """Who wants to know how the agents are."""
+    """Receives changes of targets, their load and their reachability."""
 
     def add(self, record: TargetRecord) -> None:
-        """Take in a target that control has announced, or announced again."""
+        """Add a target that control has announced; it may be known already."""
 
     def remove(self, target: TargetId) -> None:
-        """Forget a target that is gone."""
+        """Remove a target that control no longer lists."""
 
     def observe(self, report: LoadReport) -> None:
-        """Take in an agent's report."""
+        """Update a target's state from its agent's load report."""
 
-    def lose(self, target: TargetId) -> None:
-        """Note that the link to a target's agent is down."""
+    def mark_unreachable(self, target: TargetId) -> None:
+        """Mark a target unreachable because the link to its agent is down."""
 
 
 class AttemptChannel:
-    """One open attempt as its request sees it."""
+    """Receives the events of one open attempt on behalf of its request."""
 
-    def __init__(self, request: RequestId, attempt: int, owner: "AgentLink") -> None:
+    def __init__(self, request: RequestId, attempt: int, agent: "AgentLink") -> None:
         self.request = request
         self.attempt = attempt
-        self.incarnation = owner.record.incarnation
-        self._owner = owner
+        self.incarnation = agent.record.incarnation
+        self._agent = agent
         self._sequence = FrameSequence()
         self._events: asyncio.Queue[AttemptEvent] = asyncio.Queue()
         self._unacknowledged = 0
 
     @property
     def next_sequence(self) -> Sequence:
-        """The first frame that hasn't come."""
+        """Sequence number of the first frame that has not been received."""
         return self._sequence.next_sequence
 
-    def take(self, message: AnswerHead | AnswerBody | AnswerEnd | NotRun) -> None:
-        """Queue what may be delivered now, in order and once."""
+    def receive(self, message: AnswerHead | AnswerBody | AnswerEnd | NotRun) -> None:
+        """Queue the frames that can be delivered now, in order and without repeats."""
         if isinstance(message, NotRun):
             self._events.put_nowait(message)
             return
         for frame in self._sequence.accept(message):
             self._events.put_nowait(frame)
 
-    def lose(self, reason: str) -> None:
-        """End the attempt without an answer."""
+    def fail(self, reason: str) -> None:
+        """End the attempt with `AttemptLost`."""
         self._events.put_nowait(AttemptLost(reason))
 
     async def next_event(self) -> AttemptEvent:
-        """Return the next frame or end."""
+        """Return the next frame, or the event that ends the attempt."""
         return await self._events.get()
 
     def acknowledge(self, frame: Frame) -> None:
-        """Note that a frame has been passed on."""
+        """Count a frame as relayed, and acknowledge to the agent when one is due."""
         self._unacknowledged += 1
-        last = isinstance(frame, AnswerEnd)
-        if last or self._unacknowledged >= FRAMES_PER_ACKNOWLEDGE:
+        is_last = isinstance(frame, AnswerEnd)
+        if is_last or self._unacknowledged >= FRAMES_PER_ACKNOWLEDGE:
             self._unacknowledged = 0
-            after = Sequence(frame.sequence + 1)
-            self._owner.send(Acknowledge(self.request, self.attempt, after))
+            next_sequence = Sequence(frame.sequence + 1)
+            self._agent.send(Acknowledge(self.request, self.attempt, next_sequence))
 
     def cancel(self) -> None:
-        """Tell the agent that the caller has left."""
-        self._owner.send(Cancel(self.request, self.attempt))
+        """Ask the agent to cancel the attempt."""
+        self._agent.send(Cancel(self.request, self.attempt))
 
     def close(self) -> None:
         """Stop following the attempt."""
-        self._owner.drop(self)
+        self._agent.remove_channel(self)
 
 
 class AgentLink:
-    """One agent: the link to it, its load, and the attempts open there."""
+    """The connection to one agent, and the attempts that are open on it.
+
+    :ivar finished: the target was retired and its last attempt has ended.
+    """
 
     def __init__(
         self,
@@ -143,103 +147,113 @@
         self._tls = tls
         self._dial = dialer
         self._link: Link | None = None
-        # Two callers of one host may follow the same attempt, by the same key
-        self._open: dict[tuple[RequestId, int], list[AttemptChannel]] = {}
+        # Two requests at this host may follow one attempt under one idempotency key
+        self._channels: dict[tuple[RequestId, int], list[AttemptChannel]] = {}
         self.finished = False
         self._retired = False
-        self._task = asyncio.create_task(self._connect_for_ever())
-
-    def take_record(self, record: TargetRecord) -> None:
-        """Note what control says of the target now, which may be back."""
-        moved = (record.address, record.port) != (self.record.address, self.record.port)
+        self._task = asyncio.create_task(self._keep_connected())
+
+    def update_record(self, record: TargetRecord) -> None:
+        """Apply the target's current record; a retired target becomes active again."""
+        address_changed = (record.address, record.port) != (
+            self.record.address,
+            self.record.port,
+        )
         self.record = record
         self._retired = False
-        if moved and self._link is not None:
+        if address_changed and self._link is not None:
             self._link.end()
 
     def dispatch(self, dispatch: Dispatch) -> AttemptChannel:
-        """Send an attempt.
+        """Send an attempt to the agent.
 
-        :raises LinkLost: there is no link now; nothing was sent.
+        :raises LinkLost: there is no link; nothing was sent.
         """
         if self._link is None or self._link.closed:
             raise LinkLost(
                 f"no link to the agent of {self.record.target}",
-                "none is needed, another target is tried",
+                "no action needed: another target is tried",
             )
-        channel = self._add(dispatch.request, dispatch.attempt)
+        channel = self._open_channel(dispatch.request, dispatch.attempt)
         self._link.send(dispatch)
         return channel
 
     def follow(
         self, request: RequestId, attempt: int, incarnation: Incarnation
     ) -> AttemptChannel:
-        """Ask for the frames of an attempt that another entry host sent."""
-        channel = self._add(request, attempt)
+        """Request the frames of an attempt that another entry host dispatched."""
+        channel = self._open_channel(request, attempt)
         channel.incarnation = incarnation
         self.send(Resume(request, attempt, Sequence(0), incarnation))
         return channel
 
     def send(self, message: Message) -> None:
-        """Send when there is a link; what matters is resumed on the next one."""
+        """Send a message if there is a link, and drop it otherwise.
+
+        Open attempts are resumed on the next link.
+        """
         if self._link is not None:
             self._link.send(message)
 
-    def drop(self, channel: AttemptChannel) -> None:
-        """Forget an attempt."""
-        name = (channel.request, channel.attempt)
-        channels = self._open.get(name, [])
+    def remove_channel(self, channel: AttemptChannel) -> None:
+        """Stop delivering events to a channel."""
+        key = (channel.request, channel.attempt)
+        channels = self._channels.get(key, [])
         if channel in channels:
             channels.remove(channel)
         if not channels:
-            self._open.pop(name, None)
+            self._channels.pop(key, None)
         if self._retired and self.idle and self._link is not None:
             self._link.end()
 
     def retire(self) -> None:
-        """Give this agent no new work; what is open goes on while it answers.
+        """Send no new attempts; open ones continue while the agent responds.
 
-        Control may have lost sight of an agent that this host still reaches.
+        An agent that control has declared gone may still be reachable from this host.
         """
         self._retired = True
         if self.idle and self._link is not None:
             self._link.end()
 
     async def stop(self, reason: str) -> None:
-        """End all attempts here and close the link."""
+        """End all open attempts as lost and close the link."""
         self._task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self._task
-        self._lose_all(reason)
+        self._fail_all(reason)
         if self._link is not None:
             await self._link.close()
 
     @property
     def idle(self) -> bool:
         """Whether no attempt is open."""
-        return not self._open
+        return not self._channels
 
-    def _add(self, request: RequestId, attempt: int) -> AttemptChannel:
+    def _open_channel(self, request: RequestId, attempt: int) -> AttemptChannel:
         channel = AttemptChannel(request, attempt, self)
-        self._open.setdefault((request, attempt), []).append(channel)
+        self._channels.setdefault((request, attempt), []).append(channel)
         return channel
 
-    async def _connect_for_ever(self) -> None:
-        since = self._clock.monotonic()
+    async def _keep_connected(self) -> None:
+        last_connected = self._clock.monotonic()
         while not (self._retired and self.idle):
             try:
                 await self._connect()
-                since = self._clock.monotonic()
-                # New connections mostly work where an old one was lost: dial at once
+                last_connected = self._clock.monotonic()
+                # A lost link can mostly be replaced at once, so redial without delay
                 continue
             except LinkLost as error:
-                logger.debug("agent lost", extra={"reason": error.message})
+                logger.debug("link to agent lost", extra={"reason": error.message})
             except Exception:
-                logger.exception("a link failed inside")
-            patience = REDIAL_INTERVAL if self._retired else LOST_AFTER
-            if self._clock.monotonic() - since > patience:
-                self._lose_all("the agent can't be reached")
-            await asyncio.sleep(REDIAL_INTERVAL)
+                logger.exception("unexpected error on a link to an agent")
+            timeout = (
+                REDIAL_INTERVAL_SECONDS
+                if self._retired
+                else UNREACHABLE_TIMEOUT_SECONDS
+            )
+            if self._clock.monotonic() - last_connected > timeout:
+                self._fail_all("the agent is unreachable")
+            await asyncio.sleep(REDIAL_INTERVAL_SECONDS)
         self.finished = True
 
     async def _connect(self) -> None:
@@ -247,7 +261,7 @@
         link = await self._dial(endpoint, self._hello(), self._clock, None, self._tls)
         self._link = link
         for channel in self._list_open():
-            # The old link may have lost any of: the dispatch, frames, nothing
+            # The old link may have lost the dispatch, frames of the answer, or nothing
             link.send(
                 Resume(
                     channel.request,
@@ -258,33 +272,33 @@
             )
         try:
             async for message in link.receive():
-                self._take(message)
+                self._handle_message(message)
         finally:
             self._link = None
-            self._observer.lose(self.record.target)
+            self._observer.mark_unreachable(self.record.target)
             await link.close()
 
-    def _take(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         match message:
             case LoadReport():
                 if not self._retired:
                     self._observer.observe(message)
             case AnswerHead() | AnswerBody() | AnswerEnd() | NotRun():
-                name = (message.request, message.attempt)
-                for channel in self._open.get(name, []):
-                    channel.take(message)
+                key = (message.request, message.attempt)
+                for channel in self._channels.get(key, []):
+                    channel.receive(message)
 
-    def _lose_all(self, reason: str) -> None:
+    def _fail_all(self, reason: str) -> None:
         for channel in self._list_open():
-            channel.lose(reason)
-        self._open.clear()
+            channel.fail(reason)
+        self._channels.clear()
 
     def _list_open(self) -> list[AttemptChannel]:
-        return [channel for channels in self._open.values() for channel in channels]
+        return [channel for channels in self._channels.values() for channel in channels]
 
 
 class AgentPool:
-    """Links to the agents of all targets in the catalog."""
+    """The links to the agents of all targets in the catalog."""
 
     def __init__(
         self,
@@ -303,21 +317,21 @@
         self._links: dict[TargetId, AgentLink] = {}
 
     def follow_targets(self, records: list[TargetRecord]) -> None:
-        """Open links to new targets, and give no new work to those that are gone.
+        """Open links to new targets and retire the targets that are gone.
 
-        A target that is registered anew keeps its open attempts: where the agent is
-        the same process it knows them, and a new one says that it doesn't.
+        A target that registers again keeps its open attempts: an agent that is still
+        the same process knows them, and a restarted one replies that it does not.
         """
-        wanted = {record.target: record for record in records}
+        announced = {record.target: record for record in records}
         for target, link in list(self._links.items()):
-            if target in wanted:
-                link.take_record(wanted[target])
+            if target in announced:
+                link.update_record(announced[target])
             else:
                 self._observer.remove(target)
                 link.retire()
             if link.finished:
                 del self._links[target]
-        for target, record in wanted.items():
+        for target, record in announced.items():
             self._observer.add(record)
             if target not in self._links:
                 self._links[target] = AgentLink(
@@ -330,7 +344,7 @@
                 )
 
     def find(self, target: TargetId) -> AgentLink | None:
-        """Return the link to a target's agent, or none."""
+        """Return the link to a target's agent, or ``None``."""
         return self._links.get(target)
 
     def list_links(self) -> list[AgentLink]:
@@ -340,4 +354,4 @@
     async def stop(self) -> None:
         """Close all links."""
         for link in self._links.values():
-            await link.stop("the entry host stops")
+            await link.stop("the entry host is stopping")
--- a/src/ibishead/entry/call.py
+++ b/src/ibishead/entry/call.py
@@ -1,4 +1,4 @@
-"""What a caller asks for, read from HTTP and not yet compared with any document."""
+"""Parsing of a caller's HTTP request, before any service document is consulted."""
 
 import uuid
 from dataclasses import dataclass
@@ -28,24 +28,26 @@
 CLASS_HEADER = "x-ibishead-class"
 REQUEST_HEADER = "x-request-id"
 KEY_HEADER = "idempotency-key"
-#: Never passed on: the first is the system's own secret, the others are set anew.
-_PRIVATE_HEADERS = frozenset(
+#: Headers that are not forwarded to targets: the credential is only for this system,
+#: the others are set anew.
+_UNFORWARDED_HEADERS = frozenset(
     {"authorization", "host", "content-length", REQUEST_HEADER, CLASS_HEADER}
 )
 
-#: Longest key or request id in characters; both are kept for a day.
-MAX_NAME = 200
+#: Maximum length of an idempotency key or request id in characters. Both are stored
+#: for a day.
+MAX_NAME_LENGTH = 200
 
 
 @dataclass(frozen=True)
 class Call:
-    """One call, as the caller put it.
+    """One parsed request of a caller.
 
     :param adapter: empty for the base model and for plain services.
-    :param version: empty when the caller leaves it to the document.
-    :param payload: the JSON body of a model call.
-    :param path: path and query as the target gets them.
-    :param credential: the caller's key, or empty.
+    :param version: empty for the default version in the document.
+    :param payload: the decoded JSON body of a model call.
+    :param path: path and query as sent to the target.
+    :param credential: the caller's API key, or empty.
     """
 
     request: RequestId
@@ -65,17 +67,17 @@
 
 
 def parse_call(request: WebRequest) -> Call:
-    """Return what a request asks for.
+    """Parse an HTTP request into a call.
 
     :raises NotFound: the path belongs to no interface.
-    :raises InvalidInput: the body or a header can't be understood.
+    :raises InvalidInput: the method, the body or a header is invalid.
     """
     if request.path in MODEL_PATHS:
         return _parse_model_call(request)
     if request.path.startswith(PLAIN_PREFIX):
         return _parse_plain_call(request)
     raise NotFound(
-        f"nothing is served at {request.path}",
+        f"no such path: {request.path}",
         "use /v1/chat/completions, /v1/completions, /v1/models, /v1/requests/ID "
         "or /services/NAME/",
     )
@@ -84,7 +86,7 @@
 def _parse_model_call(request: WebRequest) -> Call:
     if request.method != "POST":
         error: IbisheadError = InvalidInput(
-            f"{request.path} doesn't take {request.method}",
+            f"{request.path} does not support the method {request.method}",
             "use POST",
             code=ErrorCode.METHOD_NOT_ALLOWED,
         )
@@ -94,7 +96,7 @@
     model = payload.get("model")
     if not isinstance(model, str) or not model:
         raise InvalidInput(
-            "the body names no model", 'set "model" to "service/adapter@version"'
+            'the body has no "model" string', 'set "model" to "service/adapter@version"'
         )
     service, _, adapter = model.partition("/")
     adapter, _, version = adapter.partition("@")
@@ -104,7 +106,7 @@
         kind=TargetKind.ENGINE,
         method="POST",
         path=request.target,
-        headers=_keep_headers(request.headers),
+        headers=_filter_headers(request.headers),
         body=b"",
         adapter=AdapterName(adapter),
         version=Version(version),
@@ -125,7 +127,7 @@
         kind=TargetKind.PLAIN,
         method=request.method,
         path=f"{path}?{request.query}" if request.query else path,
-        headers=_keep_headers(request.headers),
+        headers=_filter_headers(request.headers),
         body=request.body,
         request_class=ClassName(find_header(request.headers, CLASS_HEADER) or ""),
         key=_read_key(request.headers),
@@ -138,41 +140,42 @@
         payload = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidInput(
-            f"the body is no valid JSON: {error}", "send a JSON object in UTF-8"
+            f"the body is not valid JSON: {error}", "send a JSON object in UTF-8"
         ) from error
     if not isinstance(payload, dict):
-        raise InvalidInput("the body is no JSON object", "send a JSON object")
+        raise InvalidInput("the body is not a JSON object", "send a JSON object")
     return payload
 
 
 def _read_request_id(headers: Headers) -> RequestId:
-    given = find_header(headers, REQUEST_HEADER)
-    if given is None:
+    value = find_header(headers, REQUEST_HEADER)
+    if value is None:
         return RequestId(uuid.uuid4().hex)
-    _check_name(REQUEST_HEADER, given)
-    # Callers may well use an id twice; a part of our own keeps attempts apart
-    return RequestId(f"{given}.{uuid.uuid4().hex[:8]}")
+    _check_value(REQUEST_HEADER, value)
+    # Callers may reuse an id; the random suffix keeps the requests distinct
+    return RequestId(f"{value}.{uuid.uuid4().hex[:8]}")
 
 
 def _read_key(headers: Headers) -> IdempotencyKey:
-    given = find_header(headers, KEY_HEADER)
-    if given is None:
+    value = find_header(headers, KEY_HEADER)
+    if value is None:
         return IdempotencyKey("")
-    _check_name(KEY_HEADER, given)
-    return IdempotencyKey(given)
+    _check_value(KEY_HEADER, value)
+    return IdempotencyKey(value)
 
 
-def _check_name(header: str, value: str) -> None:
-    if not value or len(value) > MAX_NAME or not value.isprintable():
+def _check_value(header: str, value: str) -> None:
+    if not value or len(value) > MAX_NAME_LENGTH or not value.isprintable():
         raise InvalidInput(
-            f"the header {header} is empty, unprintable or over {MAX_NAME} characters",
+            f"the header {header} is empty, unprintable or over {MAX_NAME_LENGTH} "
+            "characters",
             "send a short printable value, such as a UUID",
         )
 
 
-def _keep_headers(headers: Headers) -> Headers:
+def _filter_headers(headers: Headers) -> Headers:
     return tuple(
         (name, value)
         for name, value in drop_hop_by_hop(headers)
-        if name not in _PRIVATE_HEADERS
+        if name not in _UNFORWARDED_HEADERS
     )
--- a/src/ibishead/entry/claims.py
+++ b/src/ibishead/entry/claims.py
@@ -1,7 +1,8 @@
-"""Non-idempotent requests: one claim, at most one run, the recorded outcome after.
+"""Execution of non-idempotent requests: at most once, under a claim.
 
-The claim is committed by the control quorum before anything is sent. It moves to
-another target only on proof that its holder did not run.
+The control quorum commits the claim before anything is sent. The claim moves to
+another target only on proof that its holder did not run the request. Once it has run,
+the recorded outcome answers every later request with the same idempotency key.
 """
 
 import contextlib
@@ -9,12 +10,12 @@
 
 from ibishead.decisions.placement import Placed
 from ibishead.entry.dispatching import (
+    AttemptResult,
     Dispatcher,
-    Ended,
     Grant,
     Job,
-    describe_end,
-    describe_no_target,
+    make_attempt_error,
+    make_no_target_error,
 )
 from ibishead.entry.trace import Trace
 from ibishead.errors import (
@@ -37,14 +38,14 @@
 
 __all__ = ["ClaimedRunner"]
 
-#: Seconds in which the quorum must answer. An election takes about one; a caller is
-#: told sooner to come back than left waiting for a quorum that is gone.
-CLAIM_PATIENCE = 2.0
+#: Seconds within which the quorum must answer. An election takes about one second.
+#: While there is no quorum, callers are asked to retry rather than kept waiting.
+CLAIM_TIMEOUT_SECONDS = 2.0
 
-#: Seconds after which the holder of a claim that runs may be asked again.
-RUNNING_RETRY_AFTER = 1.0
+#: Seconds after which a caller may retry a request whose claim is still running.
+RUNNING_RETRY_AFTER_SECONDS = 1.0
 
-#: Grants of one claim that one request may go through.
+#: Maximum number of grants of its claim that one request may use.
 MAX_GRANTS = 4
 
 
@@ -64,53 +65,57 @@
     async def run(self, job: Job) -> None:
         """Answer a request that may run at most once.
 
-        :raises IbisheadError: what the caller is told instead of an answer; its
-            kind is `OutcomeUnknown` when the request may have run.
+        :raises IbisheadError: the error for the caller; it is `OutcomeUnknown` when
+            the request may have run.
         """
         key = job.resolved.call.key or IdempotencyKey(job.resolved.call.request)
         avoid: frozenset[TargetId] = frozenset()
-        ended = Ended(Outcome.NOT_RUN, ErrorCode.NO_TARGET, "never sent")
-        given_up = Generation(0)
+        result = AttemptResult(
+            Outcome.NOT_RUN, ErrorCode.NO_TARGET, "no attempt was sent"
+        )
+        last_released = Generation(0)
         for _ in range(MAX_GRANTS):
             placed = await self._dispatcher.choose_again(job, avoid)
-            # Assessed by the same view as the placement: while the claim is asked for,
-            # links may fall silent, and that is no load.
+            # Admission is decided by the same view of the targets as the placement:
+            # links may go silent while the claim is requested, which is not load.
             refusal = self._dispatcher.admit(job, placed)
             answer = await self._claim(job, key, placed)
             if answer is None and placed is None:
-                raise describe_no_target()
+                raise make_no_target_error()
             if answer is None:
                 continue
-            self._note(job.trace, "claim", answer.state.value, f"at {answer.target}")
-            if not self._is_open(answer):
+            self._trace(job.trace, "claim", answer.state.value, f"at {answer.target}")
+            if not self._is_unsettled(answer):
                 await self._answer_settled(job, answer)
                 return
-            # A generation that was reported as not run may be recorded so at any
-            # moment, and another one granted. Nothing is sent under it again.
-            if answer.generation > given_up:
-                ended = await self._run_granted(job, answer, key, refusal)
-                if ended.outcome is Outcome.COMPLETED:
+            # A generation that was reported as not run may be recorded as such at any
+            # time and a new one granted, so nothing more is sent under it.
+            if answer.generation > last_released:
+                result = await self._run_granted(job, answer, key, refusal)
+                if result.outcome is Outcome.COMPLETED:
                     return
-                if ended.outcome is Outcome.UNKNOWN:
-                    raise describe_end(ended, RUNNING_RETRY_AFTER)
-                given_up = answer.generation
+                if result.outcome is Outcome.UNKNOWN:
+                    raise make_attempt_error(result, RUNNING_RETRY_AFTER_SECONDS)
+                last_released = answer.generation
             await self._release(job, answer, key)
-            if ended.refreshed:
+            if result.refreshed:
                 self._dispatcher.refresh(job)
             else:
                 avoid |= {answer.target}
             if job.deadline <= self._monotonic():
                 break
-        raise describe_end(ended, ended.retry_after or RUNNING_RETRY_AFTER)
+        raise make_attempt_error(
+            result, result.retry_after or RUNNING_RETRY_AFTER_SECONDS
+        )
 
     async def _claim(
         self, job: Job, key: IdempotencyKey, placed: Placed | None
     ) -> ClaimAnswer | None:
-        # Without a live target nothing is granted, but what is on record under the
-        # key is answered all the same; none means that nothing is.
+        # Without a live target no claim is granted, but a claim that is recorded under
+        # the key is still answered. None means that there is no such record.
         agent = placed and self._dispatcher.find_agent(placed.target)
         resolved = job.resolved
-        ask = AskClaim(
+        request = AskClaim(
             request=resolved.call.request,
             team=resolved.team,
             service=resolved.call.service,
@@ -121,24 +126,24 @@
             retention=resolved.document.claim_retention.total_seconds(),
         )
         try:
-            return await self._subscription.claim(ask, CLAIM_PATIENCE)
+            return await self._subscription.claim(request, CLAIM_TIMEOUT_SECONDS)
         except NotFound:
             return None
         except Unavailable as error:
             if not resolved.call.key:
                 raise
-            # An earlier sending under the same key may have run, and only the
-            # quorum knows. "Not run" could make its caller take a new key.
+            # An earlier request with the same key may have run, which only the quorum
+            # knows. "Not run" could lead the caller to retry under a new key.
             raise OutcomeUnknown(
-                "this sending was not run, but no control quorum can tell whether "
-                "an earlier one under the same Idempotency-Key was",
-                "send it again with the same key after the given time",
+                "this request was not run, but without a control quorum it is unknown "
+                "whether an earlier one with the same Idempotency-Key was",
+                "retry with the same key after the given time",
                 code=ErrorCode.NO_QUORUM,
                 retry_after=error.retry_after,
             ) from error
 
     @staticmethod
-    def _is_open(answer: ClaimAnswer) -> bool:
+    def _is_unsettled(answer: ClaimAnswer) -> bool:
         return answer.state in (ClaimState.GRANTED, ClaimState.RUNNING)
 
     async def _run_granted(
@@ -147,30 +152,34 @@
         answer: ClaimAnswer,
         key: IdempotencyKey,
         refusal: IbisheadError | None,
-    ) -> Ended:
+    ) -> AttemptResult:
         agent = self._dispatcher.find_agent(answer.target)
-        mine = answer.holder == job.resolved.call.request
-        if mine and answer.state is ClaimState.GRANTED:
+        is_holder = answer.holder == job.resolved.call.request
+        if is_holder and answer.state is ClaimState.GRANTED:
             if agent is None or agent.record.incarnation != answer.incarnation:
-                # This host alone may send it, and hasn't
-                return Ended(
+                # Only this host may send under this grant, and it has not done so
+                return AttemptResult(
                     Outcome.NOT_RUN, ErrorCode.STALE_INCARNATION, "the target is gone"
                 )
             if refusal is not None:
                 await self._release(job, answer, key)
                 raise refusal
-            if not self._dispatcher.takes_work(answer.target):
-                return Ended(
-                    Outcome.NOT_RUN, ErrorCode.NO_TARGET, "the target takes nothing now"
+            if not self._dispatcher.accepts_attempts(answer.target):
+                return AttemptResult(
+                    Outcome.NOT_RUN,
+                    ErrorCode.NO_TARGET,
+                    "the target accepts no requests",
                 )
             job.attempts += 1
             return await self._dispatcher.attempt(
                 job, agent, Grant(answer.generation, key)
             )
         if agent is None:
-            return Ended(Outcome.UNKNOWN, ErrorCode.LINK_LOST, "its target is gone")
-        # Another entry host sent it, and may be gone: the agent has the answer, or
-        # the proof that it never came.
+            return AttemptResult(
+                Outcome.UNKNOWN, ErrorCode.LINK_LOST, "its target is gone"
+            )
+        # Another entry host, which may be gone, sent the request. The agent has either
+        # the answer or the proof that it never received the request.
         channel = agent.follow(answer.holder, answer.generation, answer.incarnation)
         return await self._dispatcher.follow(job, channel)
 
@@ -187,9 +196,10 @@
             answer.generation,
             Outcome.NOT_RUN,
         )
-        # When this isn't recorded, the next sending asks the agent and gets the proof
+        # If this is not recorded, the next request with this key follows the attempt at
+        # the agent and gets the proof there
         with contextlib.suppress(Unavailable):
-            await self._subscription.resolve(resolution, CLAIM_PATIENCE)
+            await self._subscription.resolve(resolution, CLAIM_TIMEOUT_SECONDS)
 
     async def _answer_settled(self, job: Job, answer: ClaimAnswer) -> None:
         match answer.state:
@@ -199,22 +209,23 @@
                 )
             case ClaimState.COMPLETED:
                 raise Conflict(
-                    "the request was completed before; its answer was too large to "
-                    "be kept",
-                    "don't send it again; read its effect from the service",
+                    "the request was completed before, but its answer was too large "
+                    "to be stored",
+                    "do not send it again; read its effect from the service",
                     code=ErrorCode.ANSWER_NOT_KEPT,
                 )
             case ClaimState.KEY_REUSED:
                 raise Conflict(
-                    "the Idempotency-Key was used for another request",
+                    "the Idempotency-Key was already used for a different request",
                     "use a new key for each request",
                     code=ErrorCode.KEY_REUSED,
                 )
             case _:
                 raise OutcomeUnknown(
-                    "the request may have run; its target was lost before it told",
+                    "the request may have run: its target was lost before it reported "
+                    "the outcome",
                     "check its effect with the service; the key stays bound to it",
                 )
 
-    def _note(self, trace: Trace, stage: str, decision: str, reason: str) -> None:
+    def _trace(self, trace: Trace, stage: str, decision: str, reason: str) -> None:
         trace.add(self._monotonic(), stage, decision, reason)
--- a/src/ibishead/entry/dispatching.py
+++ b/src/ibishead/entry/dispatching.py
@@ -1,4 +1,4 @@
-"""Attempts of one request: place, dispatch, follow, and try again where allowed."""
+"""Attempts of one request: placement, dispatch, relaying and permitted retries."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 from ibishead.entry.agents import AgentLink, AgentPool, AttemptChannel, AttemptLost
 from ibishead.entry.placing import Placer
 from ibishead.entry.relay import Relay
-from ibishead.entry.resolution import Resolved, resolve
+from ibishead.entry.resolution import ResolvedCall, resolve
 from ibishead.entry.trace import Trace
 from ibishead.errors import (
     ErrorCode,
@@ -34,58 +34,66 @@
 from ibishead.messages import AnswerEnd, AnswerHead, Dispatch, NotRun, Outcome
 from ibishead.session import SILENCE_LIMIT
 
-__all__ = ["Dispatcher", "Ended", "Grant", "Job"]
+__all__ = ["AttemptResult", "Dispatcher", "Grant", "Job"]
 
-#: Seconds after which a caller may come back when nothing better is known.
-DEFAULT_RETRY_AFTER = 1.0
+#: Seconds after which a caller may retry when no better estimate is known.
+DEFAULT_RETRY_AFTER_SECONDS = 1.0
 
-#: Dispatches refused only because this host's document was old. The agent hands
-#: back the newer one, so a second refusal of this kind is rare.
+#: Maximum number of dispatches that are repeated because this host's document was
+#: outdated. The agent's refusal carries the newer document, so a second refusal of
+#: this kind is rare.
 MAX_REFRESHES = 3
 
-#: Refusals of attempts that never came into an agent's hands.
-_UNSEEN = (ErrorCode.NEVER_RECEIVED, ErrorCode.LINK_LOST)
+#: Error codes of attempts that never reached an agent.
+_UNDELIVERED_CODES = (ErrorCode.NEVER_RECEIVED, ErrorCode.LINK_LOST)
 
-#: Seconds that a request waits for a target to be reached again. All links of a host
-#: may go silent at once while every target is well. From the suspicion on they have to
-#: be given up and dialled anew.
+#: Seconds that a request waits for a target to become reachable again. All links of a
+#: host may go silent at once while every target is healthy. This time covers closing
+#: the links after targets have been marked unreachable, and dialling them again.
 REACH_PATIENCE = SILENCE_LIMIT
 
-#: Seconds that an agent has to say whether a cancelled attempt had begun.
-VERDICT_PATIENCE = 0.5
+#: Seconds to wait for an agent to report whether a cancelled attempt had started.
+CANCEL_REPLY_TIMEOUT_SECONDS = 0.5
 
 
 @dataclass
 class Job:
-    """One request on its way.
+    """A request in progress.
 
     :param deadline: monotonic seconds.
-    :param unseen: those of its attempts that never came into an agent's hands.
-    :param admitted: it was taken in, and further attempts aren't refused for load.
-    :param doubtful: an attempt may have run, whatever became of later ones.
+    :param attempts: number of attempts so far.
+    :param undelivered: number of those attempts that never reached an agent.
+    :param admitted: the request passed admission, so further attempts are not refused
+        because of load.
+    :param may_have_run: an attempt may have run, whatever the outcome of later ones.
     """
 
-    resolved: Resolved
+    resolved: ResolvedCall
     relay: Relay
     trace: Trace
     deadline: float
     attempts: int = 0
-    unseen: int = 0
+    undelivered: int = 0
     admitted: bool = False
-    doubtful: bool = False
+    may_have_run: bool = False
 
 
 @dataclass(frozen=True)
 class Grant:
-    """The right to run a non-idempotent request once."""
+    """Permission from a claim to run a non-idempotent request once."""
 
     generation: Generation
     key: IdempotencyKey
 
 
 @dataclass(frozen=True)
-class Ended:
-    """How one attempt ended, as far as this entry host may say."""
+class AttemptResult:
+    """How an attempt ended, as far as this entry host can tell.
+
+    :param retry_after: seconds after which the caller may retry, or 0.
+    :param refreshed: refused because a newer document is in force, so the call has to
+        be resolved again.
+    """
 
     outcome: Outcome
     code: ErrorCode | None = None
@@ -94,17 +102,17 @@
     refreshed: bool = False
 
 
-#: The newer document says that the request may run only once, which takes a claim
-#: from the start; attempts that go on without one could run it twice.
-_PROTECTED_NOW = Ended(
+#: The newer document makes the request non-idempotent. It then needs a claim before the
+#: first attempt: further attempts without one could run it twice.
+_BECAME_NON_IDEMPOTENT = AttemptResult(
     Outcome.NOT_RUN,
     ErrorCode.STALE_REVISION,
-    "by a change of its document it may run only once from now on",
+    "a newer service document makes this request non-idempotent",
 )
 
 
 class Dispatcher:
-    """Sends attempts to agents."""
+    """Places requests, sends their attempts to agents and relays the answers."""
 
     def __init__(
         self,
@@ -120,61 +128,65 @@
         self._budget = RetryBudget()
 
     def find_agent(self, target: TargetId) -> AgentLink | None:
-        """Return the agent of a target, or none."""
+        """Return the link to a target's agent, or ``None``."""
         return self._pool.find(target)
 
-    def takes_work(self, target: TargetId) -> bool:
-        """Whether a target may be sent something now."""
-        return self._placer.takes_work(target)
+    def accepts_attempts(self, target: TargetId) -> bool:
+        """Whether a target currently accepts attempts."""
+        return self._placer.accepts_attempts(target)
 
     async def choose(self, job: Job, avoid: frozenset[TargetId]) -> Placed | None:
-        """Return where the next attempt goes, or none when nothing can take it.
+        """Return the placement of the next attempt, or ``None`` if no target is usable.
+
+        While targets are known but none is reachable, waits for links for up to
+        `REACH_PATIENCE`.
 
-        While targets are known but none is in reach, wait a moment for the links.
+        :param avoid: targets that must not be chosen.
         """
         placed = self._placer.place(job.resolved, avoid)
-        if placed is None and self._placer.expects_targets(job.resolved, avoid):
-            self._note(job, "place", "waits", "no target is in reach")
-            left = job.deadline - self._clock.monotonic()
+        if placed is None and self._placer.has_unreachable_target(job.resolved, avoid):
+            self._trace(job, "place", "waits", "no target is reachable")
+            remaining = job.deadline - self._clock.monotonic()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(REACH_PATIENCE, left)):
+                async with asyncio.timeout(min(REACH_PATIENCE, remaining)):
                     while placed is None:
                         await self._placer.wait_for_change()
                         placed = self._placer.place(job.resolved, avoid)
         if placed is None:
-            self._note(job, "place", "none", "no target can take it")
+            self._trace(job, "place", "none", "no target is available")
         else:
-            self._note(job, "place", placed.target, placed.reason)
+            self._trace(job, "place", placed.target, placed.reason)
         return placed
 
     async def choose_again(self, job: Job, avoid: frozenset[TargetId]) -> Placed | None:
-        """Return another target, or one that was tried when there is no other."""
+        """Like `choose`, but return a target to avoid when there is no other."""
         placed = await self.choose(job, avoid)
         if placed is None and avoid:
             placed = await self.choose(job, frozenset())
         return placed
 
     def admit(self, job: Job, placed: Placed | None) -> IbisheadError | None:
-        """Take the request in, by the load at the target chosen; once is enough.
+        """Decide admission by the load at the chosen target, unless already admitted.
 
-        :returns: why it is refused, for who then hasn't run it; none when it is taken.
+        :returns: the refusal, to be raised once the request is known not to have run,
+            or ``None`` when the request is admitted.
         """
         if job.admitted:
             return None
         try:
             admitted = self._placer.admit(job.resolved, placed)
         except IbisheadError as error:
-            self._note(job, "admit", error.code.value, error.message)
+            self._trace(job, "admit", error.code.value, error.message)
             return error
         job.admitted = True
         wait = f"expected wait {admitted.expected_wait:.3f} s"
-        self._note(job, "admit", "admitted", wait)
+        self._trace(job, "admit", "admitted", wait)
         return None
 
     async def run(self, job: Job) -> None:
-        """Answer an idempotent request, by as many attempts as it takes and may.
+        """Answer an idempotent request, with retries as far as they are permitted.
 
-        :raises IbisheadError: the final refusal, for the caller.
+        :raises IbisheadError: the error for the caller when no attempt has succeeded.
         """
         self._budget.record_attempt()
         avoid: frozenset[TargetId] = frozenset()
@@ -185,55 +197,57 @@
         while True:
             agent = None if placed is None else self._pool.find(placed.target)
             if agent is None:
-                raise describe_no_target(job.doubtful)
+                raise make_no_target_error(job.may_have_run)
             job.attempts += 1
-            ended = await self.attempt(job, agent)
-            if ended.outcome is Outcome.COMPLETED:
+            result = await self.attempt(job, agent)
+            if result.outcome is Outcome.COMPLETED:
                 return
-            job.doubtful |= ended.outcome is Outcome.UNKNOWN
-            if ended.refreshed and refreshes < MAX_REFRESHES:
+            job.may_have_run |= result.outcome is Outcome.UNKNOWN
+            if result.refreshed and refreshes < MAX_REFRESHES:
                 refreshes += 1
                 self.refresh(job)
                 if not job.resolved.request_class.idempotent:
-                    raise describe_end(
-                        _PROTECTED_NOW, DEFAULT_RETRY_AFTER, job.doubtful
+                    raise make_attempt_error(
+                        _BECAME_NON_IDEMPOTENT,
+                        DEFAULT_RETRY_AFTER_SECONDS,
+                        job.may_have_run,
                     )
                 placed = await self.choose(job, avoid)
                 continue
-            verdict = self._decide(job, ended)
-            self._note(job, "retry", type(verdict).__name__, verdict.reason)
-            match verdict:
+            decision = self._decide_retry(job, result)
+            self._trace(job, "retry", type(decision).__name__, decision.reason)
+            match decision:
                 case RetryElsewhere():
                     avoid |= {agent.record.target}
                     job.relay.reset()
                     placed = await self.choose_again(job, avoid)
                 case GiveUp(retry_after=retry_after):
-                    raise describe_end(ended, retry_after, job.doubtful)
+                    raise make_attempt_error(result, retry_after, job.may_have_run)
 
     def refresh(self, job: Job) -> None:
-        """Compare the call with the newer document.
+        """Resolve the call again by the newest document.
 
-        :raises IbisheadError: by that document it can't be served.
+        :raises IbisheadError: that document does not allow the call.
         """
         job.resolved = resolve(job.resolved.call, self._catalog)
         job.relay.resolved = job.resolved
         revision = job.resolved.held.record.revision
-        self._note(job, "resolve", "again", f"by revision {revision}")
+        self._trace(job, "resolve", "again", f"by revision {revision}")
 
     async def attempt(
         self,
         job: Job,
         agent: AgentLink,
         grant: Grant | None = None,
-    ) -> Ended:
-        """Make one attempt and follow it to its end.
+    ) -> AttemptResult:
+        """Dispatch one attempt and relay its answer.
 
-        :param grant: the claim that a non-idempotent request runs under.
+        :param grant: of the claim under which a non-idempotent request runs.
         """
         dispatch = self._make_dispatch(job, agent)
         if grant is not None:
-            # The generation numbers the attempt, so that another entry host that
-            # reads the claim knows which attempt to ask for
+            # The generation serves as attempt number, so that another entry host that
+            # reads the claim knows which attempt to follow
             dispatch = msgspec.structs.replace(
                 dispatch,
                 attempt=grant.generation,
@@ -245,61 +259,67 @@
         try:
             channel = agent.dispatch(dispatch)
         except LinkLost as error:
-            return Ended(Outcome.NOT_RUN, ErrorCode.LINK_LOST, error.message)
+            return AttemptResult(Outcome.NOT_RUN, ErrorCode.LINK_LOST, error.message)
         return await self.follow(job, channel)
 
-    async def follow(self, job: Job, channel: AttemptChannel) -> Ended:
-        """Relay an attempt's frames until its end, its deadline or its loss."""
+    async def follow(self, job: Job, channel: AttemptChannel) -> AttemptResult:
+        """Relay an attempt's frames until it ends, is lost or exceeds the deadline."""
         try:
             return await self._follow(job, channel)
         except TimeoutError:
             channel.cancel()
-            self._note(job, "relay", "deadline", "no answer began in time")
-            return await self._ask_verdict(channel)
+            self._trace(
+                job, "relay", "deadline", "no answer started before the deadline"
+            )
+            return await self._await_cancel_reply(channel)
         except (LinkLost, asyncio.CancelledError):
             channel.cancel()
             raise
         finally:
             channel.close()
 
-    async def _ask_verdict(self, channel: AttemptChannel) -> Ended:
-        # What still waits in the agent's queue can be proved not to have run; only
-        # the agent knows, and it answers a cancel at once.
+    async def _await_cancel_reply(self, channel: AttemptChannel) -> AttemptResult:
+        # An attempt that is still in the agent's queue has provably not run. Only the
+        # agent knows this, and it answers a cancellation at once.
         outcome = Outcome.UNKNOWN
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(VERDICT_PATIENCE):
+            async with asyncio.timeout(CANCEL_REPLY_TIMEOUT_SECONDS):
                 while not isinstance(event := await channel.next_event(), AnswerEnd):
                     if isinstance(event, NotRun):
                         outcome = Outcome.NOT_RUN
                         break
-        return Ended(outcome, ErrorCode.DEADLINE_EXCEEDED, "the deadline passed")
+        return AttemptResult(
+            outcome, ErrorCode.DEADLINE_EXCEEDED, "the deadline was exceeded"
+        )
 
-    async def _follow(self, job: Job, channel: AttemptChannel) -> Ended:
-        async with asyncio.timeout(job.deadline - self._clock.monotonic()) as limit:
+    async def _follow(self, job: Job, channel: AttemptChannel) -> AttemptResult:
+        async with asyncio.timeout(job.deadline - self._clock.monotonic()) as timeout:
             while True:
                 event = await channel.next_event()
                 match event:
                     case NotRun():
-                        return self._take_refusal(job, event)
+                        return self._handle_refusal(job, event)
                     case AttemptLost(reason=reason):
-                        self._note(job, "relay", "lost", reason)
-                        return Ended(Outcome.UNKNOWN, ErrorCode.LINK_LOST, reason)
+                        self._trace(job, "relay", "lost", reason)
+                        return AttemptResult(
+                            Outcome.UNKNOWN, ErrorCode.LINK_LOST, reason
+                        )
                     case AnswerHead():
-                        # An answer that has begun is worth finishing
-                        limit.reschedule(None)
-                        self._note(job, "run", event.target, _describe_wait(event))
-                await job.relay.take(event)
+                        # An answer that has started is completed despite the deadline
+                        timeout.reschedule(None)
+                        self._trace(job, "run", event.target, _format_waits(event))
+                await job.relay.handle_frame(event)
                 channel.acknowledge(event)
                 if isinstance(event, AnswerEnd):
-                    self._note(job, "relay", event.outcome.value, event.reason)
-                    return Ended(event.outcome, event.code, event.reason)
+                    self._trace(job, "relay", event.outcome.value, event.reason)
+                    return AttemptResult(event.outcome, event.code, event.reason)
 
-    def _take_refusal(self, job: Job, refusal: NotRun) -> Ended:
-        self._note(job, "gate", refusal.code.value, refusal.reason)
+    def _handle_refusal(self, job: Job, refusal: NotRun) -> AttemptResult:
+        self._trace(job, "gate", refusal.code.value, refusal.reason)
         refreshed = False
         if refusal.document is not None:
             refreshed = self._catalog.offer(refusal.document)
-        return Ended(
+        return AttemptResult(
             Outcome.NOT_RUN,
             refusal.code,
             refusal.reason,
@@ -307,20 +327,22 @@
             refreshed or refusal.code is ErrorCode.STALE_REVISION,
         )
 
-    def _decide(self, job: Job, ended: Ended) -> RetryElsewhere | GiveUp:
+    def _decide_retry(self, job: Job, result: AttemptResult) -> RetryElsewhere | GiveUp:
         request_class = job.resolved.request_class
-        unseen = ended.outcome is Outcome.NOT_RUN and ended.code in _UNSEEN
-        job.unseen += unseen
+        undelivered = (
+            result.outcome is Outcome.NOT_RUN and result.code in _UNDELIVERED_CODES
+        )
+        job.undelivered += undelivered
         end = AttemptEnd(
-            ended.outcome,
-            job.attempts - job.unseen,
+            result.outcome,
+            job.attempts - job.undelivered,
             request_class.idempotent,
             job.deadline - self._clock.monotonic(),
             job.relay.delivered,
-            unseen=unseen,
-            lost=job.unseen,
+            unseen=undelivered,
+            lost=job.undelivered,
         )
-        retry_after = ended.retry_after or DEFAULT_RETRY_AFTER
+        retry_after = result.retry_after or DEFAULT_RETRY_AFTER_SECONDS
         return decide_retry(end, self._budget, retry_after)
 
     def _make_dispatch(self, job: Job, agent: AgentLink) -> Dispatch:
@@ -350,47 +372,47 @@
             stall_weight=resolved.document.stall_weight,
         )
 
-    def _note(self, job: Job, stage: str, decision: str, reason: str) -> None:
+    def _trace(self, job: Job, stage: str, decision: str, reason: str) -> None:
         job.trace.add(self._clock.monotonic(), stage, decision, reason)
 
 
-def describe_no_target(doubtful: bool = False) -> IbisheadError:
-    """Return the refusal of a request that no target can take.
+def make_no_target_error(may_have_run: bool = False) -> IbisheadError:
+    """Return the error for a request for which no target is available.
 
-    :param doubtful: an earlier attempt may have run.
+    :param may_have_run: an earlier attempt may have run.
     """
-    ended = Ended(
-        Outcome.NOT_RUN, ErrorCode.NO_TARGET, "no target of the service can take it"
+    result = AttemptResult(
+        Outcome.NOT_RUN, ErrorCode.NO_TARGET, "no target of the service is available"
     )
-    return describe_end(ended, DEFAULT_RETRY_AFTER, doubtful)
+    return make_attempt_error(result, DEFAULT_RETRY_AFTER_SECONDS, may_have_run)
 
 
-def describe_end(
-    ended: Ended, retry_after: float, doubtful: bool = False
+def make_attempt_error(
+    result: AttemptResult, retry_after: float, may_have_run: bool = False
 ) -> IbisheadError:
-    """Return what a caller is told of an attempt that brought no answer.
+    """Return the caller's error for an attempt without an answer.
 
     :param retry_after: seconds.
-    :param doubtful: an earlier attempt may have run; then "not run" would be untrue,
-        whatever is proved of the last one.
+    :param may_have_run: an earlier attempt may have run, so that "not run" would be
+        wrong even if the last attempt provably did not run.
     """
     wait = timedelta(seconds=retry_after)
-    if doubtful or ended.outcome is Outcome.UNKNOWN:
+    if may_have_run or result.outcome is Outcome.UNKNOWN:
         return OutcomeUnknown(
-            f"the outcome isn't known: {ended.reason}",
-            "an idempotent request may be sent again; any other only with the same "
-            "Idempotency-Key, which never runs it twice",
-            code=ended.code,
+            f"the outcome is unknown: {result.reason}",
+            "retry an idempotent request; retry any other only with the same "
+            "Idempotency-Key, which prevents a second run",
+            code=result.code,
             retry_after=wait,
         )
-    kind = Unavailable if ended.code is ErrorCode.NO_TARGET else Refused
+    kind = Unavailable if result.code is ErrorCode.NO_TARGET else Refused
     return kind(
-        f"the request was not run: {ended.reason}",
-        "send it again after the given time; operators: see `ibishead targets`",
-        code=ended.code,
+        f"the request was not run: {result.reason}",
+        "retry after the given time; operators: see `ibishead targets`",
+        code=result.code,
         retry_after=wait,
     )
 
 
-def _describe_wait(head: AnswerHead) -> str:
+def _format_waits(head: AnswerHead) -> str:
     return f"queued {head.queued:.3f} s, waited {head.stall:.3f} s for the adapter"
--- a/src/ibishead/entry/host.py
+++ b/src/ibishead/entry/host.py
@@ -1,4 +1,4 @@
-"""One entry host: its parts wired to one another, apart from listening sockets."""
+"""Assembly of an entry host from its components, without listening sockets."""
 
 import random
 
@@ -19,21 +19,21 @@
 
 
 class EntryHost:
-    """Answers callers and operators of one host.
+    """Serves callers and operators at one entry host.
 
-    :param chance: source of ties and spreads.
+    :param rng: random numbers that break ties and spread load.
     """
 
     def __init__(
         self,
         settings: EntrySettings,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         dialer: Dialer = dial,
     ) -> None:
         hello = Hello(Role.ENTRY, settings.host)
         tls = make_client_context(settings.peer_tls) if settings.peer_tls else None
-        placer = Placer(clock, settings.failure_domain, chance)
+        placer = Placer(clock, settings.failure_domain, rng)
         self._pool = AgentPool(lambda: hello, clock, tls, dialer, observer=placer)
         self.subscription = Subscription(
             settings.control,
@@ -41,7 +41,7 @@
             clock,
             changed=self._follow_targets,
             tls=tls,
-            start_at=chance.randrange(len(settings.control)),
+            start_at=rng.randrange(len(settings.control)),
             dialer=dialer,
         )
         metrics = Metrics("entry")
@@ -51,11 +51,11 @@
         self.pages = OperatorPages(self.subscription, self.pipeline.traces, metrics)
 
     def start(self) -> None:
-        """Begin to follow control and the agents."""
+        """Start to follow control and, through its catalog, the agents."""
         self.subscription.start()
 
     async def stop(self) -> None:
-        """Close all links; what is still open there is lost."""
+        """Close all links; attempts that are still open on them are lost."""
         await self._pool.stop()
         await self.subscription.stop()
 
--- a/src/ibishead/entry/main.py
+++ b/src/ibishead/entry/main.py
@@ -1,4 +1,4 @@
-"""The program ``ibishead-entry``."""
+"""Entry point of the program ``ibishead-entry``."""
 
 import asyncio
 import logging
@@ -16,29 +16,29 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between saying "not ready" and refusing connections, for the balancer to
-#: hear of it; it probes about once a second.
-READY_NOTICE = 2.0
+#: Seconds between reporting "not ready" and refusing connections, so that the load
+#: balancer, which probes about once a second, stops sending requests first.
+READINESS_NOTICE_SECONDS = 2.0
 
 
 async def run_entry(settings: EntrySettings) -> None:
-    """Serve until a planned stop, then finish every answer in progress."""
+    """Serve until a stop is requested, then drain the answers in progress."""
     host = EntryHost(settings, SystemClock(), random.Random())
     tls = make_server_context(settings.http_tls) if settings.http_tls else None
     callers = WebServer(host.pipeline.handle, settings.limits, tls)
     operators = WebServer(host.pages.handle, tls=tls)
     host.start()
-    taken = await callers.start(settings.http.endpoint)
-    write_port_file(settings.http, taken.port)
+    bound = await callers.start(settings.http.endpoint)
+    write_port_file(settings.http, bound.port)
     write_port_file(
         settings.operators, (await operators.start(settings.operators.endpoint)).port
     )
-    logger.info("entry serves", extra={"address": str(taken)})
+    logger.info("entry host is serving callers", extra={"address": str(bound)})
     await wait_for_stop()
-    logger.info("entry stops")
+    logger.info("entry host is stopping")
     host.pages.ready = False
     callers.begin_stop()
-    await asyncio.sleep(READY_NOTICE)
+    await asyncio.sleep(READINESS_NOTICE_SECONDS)
     await callers.stop()
     await host.stop()
     await operators.stop(grace=1.0)
@@ -46,7 +46,7 @@
 
 main = make_command(
     "entry",
-    "Take callers' requests and relay whole answers.",
+    "Accept callers' requests and relay complete answers.",
     load_entry_settings,
     run_entry,
 )
--- a/src/ibishead/entry/pages.py
+++ b/src/ibishead/entry/pages.py
@@ -1,9 +1,9 @@
-"""What an entry host answers by itself: models, requests, explanations, health."""
+"""Pages that an entry host answers itself: models, requests, explanations, health."""
 
 import msgspec
 
 from ibishead.entry.resolution import list_models
-from ibishead.entry.trace import Trace, TraceBook
+from ibishead.entry.trace import Trace, TraceStore
 from ibishead.errors import ErrorCode, NotFound, Unavailable
 from ibishead.headers import Headers
 from ibishead.ids import RequestId
@@ -42,14 +42,14 @@
 
 
 class Pages:
-    """Pages for callers."""
+    """Pages for callers: the model list and the outcomes of requests."""
 
-    def __init__(self, subscription: Subscription, traces: TraceBook) -> None:
+    def __init__(self, subscription: Subscription, traces: TraceStore) -> None:
         self._subscription = subscription
         self._traces = traces
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer a page.
+        """Respond with the requested page.
 
         :raises NotFound: there is no such page or request.
         """
@@ -60,7 +60,7 @@
             await self._show_request(exchange, path[len(REQUESTS_PREFIX) :])
         else:
             raise NotFound(
-                f"nothing is served at {path}",
+                f"no such path: {path}",
                 "use /v1/chat/completions, /v1/completions, /v1/models, "
                 "/v1/requests/ID or /services/NAME/",
             )
@@ -80,11 +80,11 @@
 class OperatorPages:
     """Pages for operators and the platform.
 
-    :ivar ready: the host may get new requests.
+    :ivar ready: whether ``/readyz`` may report that the host accepts new requests.
     """
 
     def __init__(
-        self, subscription: Subscription, traces: TraceBook, metrics: Metrics
+        self, subscription: Subscription, traces: TraceStore, metrics: Metrics
     ) -> None:
         self.ready = True
         self._subscription = subscription
@@ -92,10 +92,10 @@
         self._metrics = metrics
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer a page.
+        """Respond with the requested page.
 
         :raises NotFound: there is no such page or request.
-        :raises Unavailable: from ``/readyz``, this host should get no requests.
+        :raises Unavailable: by ``/readyz``, when this host should get no requests.
         """
         path = exchange.request.path
         if path == "/livez":
@@ -112,37 +112,38 @@
             await exchange.respond(200, JSON, msgspec.json.encode(page))
         else:
             raise NotFound(
-                f"nothing is served at {path}",
+                f"no such path: {path}",
                 "use /livez, /readyz, /metrics or /v1/explain/REQUEST",
             )
 
     def _check_ready(self) -> None:
         if not self.ready:
             raise Unavailable(
-                "this entry host stops",
-                "send requests to another one",
+                "this entry host is stopping",
+                "send requests to another entry host",
                 code=ErrorCode.DRAINING,
             )
-        # Cut off from control it can't tell whether its documents are in force, while
-        # others behind the balancer may; without any quorum all of them say so.
+        # A host that is cut off from control cannot confirm that its documents are in
+        # force, while other hosts behind the load balancer may. Without a quorum all
+        # hosts report that they are not ready.
         if not self._subscription.is_current():
             raise Unavailable(
-                "no control quorum vouches for this host's documents",
+                "no control quorum confirms this host's documents",
                 "send requests to another entry host; see `ibishead status`",
                 code=ErrorCode.NO_QUORUM,
             )
 
 
-def find_trace(traces: TraceBook, name: str) -> Trace:
+def find_trace(traces: TraceStore, name: str) -> Trace:
     """Return the trace of a request.
 
-    :raises NotFound: this host doesn't remember it.
+    :raises NotFound: this host has no trace of it.
     """
     trace = traces.find(RequestId(name))
     if trace is None:
         raise NotFound(
-            f"the request {name!r} isn't remembered here",
-            "ask the other entry hosts, or send it again with its Idempotency-Key",
+            f"this entry host has no trace of the request {name!r}",
+            "query the other entry hosts, or retry with the same Idempotency-Key",
             code=ErrorCode.UNKNOWN_REQUEST,
         )
     return trace
--- a/src/ibishead/entry/pipeline.py
+++ b/src/ibishead/entry/pipeline.py
@@ -1,4 +1,4 @@
-"""The stages of a request in their order, from HTTP in to HTTP out."""
+"""The stages of a request in order, from the HTTP request to the HTTP response."""
 
 import asyncio
 import contextlib
@@ -13,9 +13,9 @@
 from ibishead.entry.pages import Pages
 from ibishead.entry.placing import Placer
 from ibishead.entry.relay import Relay
-from ibishead.entry.resolution import Resolved, resolve_confirmed
+from ibishead.entry.resolution import ResolvedCall, resolve_confirmed
 from ibishead.entry.timing import AnswerTimer
-from ibishead.entry.trace import Trace, TraceBook
+from ibishead.entry.trace import Trace, TraceStore
 from ibishead.errors import (
     Conflict,
     ErrorCode,
@@ -36,7 +36,7 @@
 
 
 class Pipeline:
-    """Answers callers."""
+    """Handles the HTTP exchanges of callers."""
 
     def __init__(
         self,
@@ -46,19 +46,19 @@
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        self.traces = TraceBook()
+        self.traces = TraceStore()
         self._subscription = subscription
         self._dispatcher = dispatcher
         self._placer = placer
-        self._claimed = ClaimedRunner(dispatcher, subscription, clock.monotonic)
+        self._claimed_runner = ClaimedRunner(dispatcher, subscription, clock.monotonic)
         self._pages = Pages(subscription, self.traces)
         self._clock = clock
         self._metrics = metrics
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one exchange.
+        """Handle one exchange.
 
-        :raises IbisheadError: a refusal before anything was sent to a target.
+        :raises IbisheadError: refused before anything was sent to a target.
         """
         path = exchange.request.path
         if path not in MODEL_PATHS and not path.startswith(PLAIN_PREFIX):
@@ -76,10 +76,10 @@
         try:
             resolved = self._resolve(call, trace)
         except IbisheadError as error:
-            # Without a document nobody knows whether the call is protected, nor
-            # whether an earlier sending under its key has run.
-            doubtful = bool(call.key) and isinstance(error, Unavailable)
-            outcome = Outcome.UNKNOWN if doubtful else Outcome.NOT_RUN
+            # Without a confirmed document it is unknown whether the call is idempotent
+            # and whether an earlier request with its key has run.
+            may_have_run = bool(call.key) and isinstance(error, Unavailable)
+            outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
             await self._refuse(exchange, trace, "resolve", error, outcome)
             return
         timer = AnswerTimer(
@@ -115,7 +115,7 @@
         )
         await exchange.respond_error(error, headers)
 
-    def _resolve(self, call: Call, trace: Trace) -> Resolved:
+    def _resolve(self, call: Call, trace: Trace) -> ResolvedCall:
         resolved = resolve_confirmed(
             call, self._subscription.catalog, self._subscription.is_current()
         )
@@ -132,38 +132,38 @@
         runner = (
             self._dispatcher.run
             if job.resolved.request_class.idempotent
-            else self._claimed.run
+            else self._claimed_runner.run
         )
         self._placer.begin(job.resolved)
-        taken = job.resolved
+        counted = job.resolved
         task = asyncio.create_task(self._answer(runner(job), job))
-        leaving = asyncio.create_task(exchange.gone.wait())
+        caller_gone = asyncio.create_task(exchange.gone.wait())
         try:
-            await asyncio.wait({task, leaving}, return_when=asyncio.FIRST_COMPLETED)
-            # A non-idempotent request isn't called back: its outcome is recorded
-            # for the caller's next try with the same key.
+            await asyncio.wait({task, caller_gone}, return_when=asyncio.FIRST_COMPLETED)
+            # A non-idempotent request is not cancelled: its outcome is recorded for the
+            # caller's next request with the same key.
             if not task.done() and job.resolved.request_class.idempotent:
                 task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await task
         finally:
-            self._placer.end(taken)
-            leaving.cancel()
+            self._placer.end(counted)
+            caller_gone.cancel()
             task.cancel()
 
-    async def _answer(self, running: Coroutine[None, None, None], job: Job) -> None:
+    async def _answer(self, execution: Coroutine[None, None, None], job: Job) -> None:
         outcome = Outcome.COMPLETED
         try:
-            await running
+            await execution
         except LinkLost:
             job.trace.outcome = "caller left"
             raise
         except IbisheadError as error:
-            # Whatever ends the request, an attempt of it may have run before
-            outcome = Outcome.UNKNOWN if job.doubtful else _classify(error)
+            # Whatever error ends the request, an earlier attempt may have run
+            outcome = Outcome.UNKNOWN if job.may_have_run else _classify(error)
             self._metrics.count_refusal(error.code)
             _log_refusal(job.trace, job.trace.steps[-1].stage, error)
-            await job.relay.refuse(error, outcome)
+            await job.relay.send_error(error, outcome)
         job.trace.outcome = outcome.value
         call = job.resolved.call
         self._metrics.count_request(
--- a/src/ibishead/entry/relay.py
+++ b/src/ibishead/entry/relay.py
@@ -1,10 +1,10 @@
-"""The last stage: frames of an attempt become the caller's answer.
+"""The last stage: relaying the frames of an attempt as the caller's answer.
 
-A stream is passed on as it comes. Any other answer is held until it is whole, so
-that its outcome can stand in its headers and a broken one can still be repeated.
+An event stream is forwarded as it arrives. Any other answer is buffered until it is
+complete, so that its headers can state the outcome and a failed attempt can be retried.
 """
 
-from ibishead.entry.resolution import Resolved
+from ibishead.entry.resolution import ResolvedCall
 from ibishead.entry.timing import AnswerTimer
 from ibishead.errors import IbisheadError
 from ibishead.headers import Headers
@@ -14,18 +14,19 @@
 
 __all__ = ["Relay", "make_headers"]
 
-#: Bytes of an answer that are held back; a longer one goes out as it comes.
-MAX_HELD = 1024 * 1024
+#: Maximum size of a buffered answer in bytes. A longer answer is forwarded as it
+#: arrives.
+MAX_BUFFERED_BYTES = 1024 * 1024
 
 OUTCOME_HEADER = "x-ibishead-outcome"
 
 _EVENT_STREAM = "text/event-stream"
 
 
-def make_headers(resolved: Resolved, outcome: Outcome | None) -> Headers:
-    """Return the headers that name request, adapter, version and outcome.
+def make_headers(resolved: ResolvedCall, outcome: Outcome | None) -> Headers:
+    """Return the headers with request, service, revision, adapter and outcome.
 
-    :param outcome: none while it isn't known yet.
+    :param outcome: ``None`` while it is not yet known.
     """
     headers: Headers = (
         ("x-ibishead-request", resolved.call.request),
@@ -45,91 +46,95 @@
 class Relay:
     """Writes one answer to one caller.
 
-    :ivar delivered: bytes of an answer have left, so no other attempt may follow.
+    :ivar delivered: part of an answer has been sent, so no other attempt may follow.
     """
 
     def __init__(
-        self, exchange: Exchange, resolved: Resolved, timer: AnswerTimer
+        self, exchange: Exchange, resolved: ResolvedCall, timer: AnswerTimer
     ) -> None:
         self.delivered = False
         self._timer = timer
         self._exchange = exchange
         self.resolved = resolved
         self._head: AnswerHead | None = None
-        self._held: list[bytes] = []
-        self._held_bytes = 0
+        self._buffer: list[bytes] = []
+        self._buffered_bytes = 0
 
     def reset(self) -> None:
-        """Forget what an attempt has brought, before another begins."""
+        """Discard the buffered answer of an attempt before the next one starts."""
         self._head = None
-        self._held = []
-        self._held_bytes = 0
+        self._buffer = []
+        self._buffered_bytes = 0
 
-    async def take(self, frame: Frame) -> None:
-        """Pass a frame on, or hold it.
+    async def handle_frame(self, frame: Frame) -> None:
+        """Forward or buffer a frame.
 
-        :raises LinkLost: the caller has left.
+        :raises LinkLost: the caller has disconnected.
         """
-        self._timer.note(frame)
+        self._timer.record(frame)
         match frame:
             case AnswerHead():
                 self._head = frame
                 if self._is_stream():
                     await self._start()
             case AnswerBody(data=data):
-                await self._take_body(data)
+                await self._handle_body(data)
             case AnswerEnd(outcome=Outcome.COMPLETED):
                 await self._finish()
 
-    async def refuse(self, error: IbisheadError, outcome: Outcome) -> None:
-        """Tell the caller why there is no answer."""
+    async def send_error(self, error: IbisheadError, outcome: Outcome) -> None:
+        """Send an error to the caller, or end a started answer with it."""
         if self.delivered:
-            await self._break_off(error)
+            await self._abort(error)
             return
         await self._exchange.respond_error(error, make_headers(self.resolved, outcome))
 
     async def replay(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send an answer that was recorded before."""
+        """Send an answer that was recorded earlier."""
         await self._respond(status, headers, body)
 
-    async def _take_body(self, data: bytes) -> None:
+    async def _handle_body(self, data: bytes) -> None:
         if self.delivered:
             await self._exchange.send(data)
             return
-        self._held.append(data)
-        self._held_bytes += len(data)
-        if self._held_bytes > MAX_HELD:
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > MAX_BUFFERED_BYTES:
             await self._start()
 
     async def _start(self) -> None:
         if self._head is None:
             return
         self.delivered = True
-        kept = tuple(h for h in self._head.headers if h[0] != "content-length")
+        target_headers = tuple(
+            header for header in self._head.headers if header[0] != "content-length"
+        )
         await self._exchange.start(
-            self._head.status, kept + make_headers(self.resolved, None)
+            self._head.status, target_headers + make_headers(self.resolved, None)
         )
-        for data in self._held:
+        for data in self._buffer:
             await self._exchange.send(data)
-        self._held = []
+        self._buffer = []
 
     async def _finish(self) -> None:
         if self.delivered:
             await self._exchange.finish()
         elif self._head is not None:
             await self._respond(
-                self._head.status, self._head.headers, b"".join(self._held)
+                self._head.status, self._head.headers, b"".join(self._buffer)
             )
 
     async def _respond(self, status: int, headers: Headers, body: bytes) -> None:
         self.delivered = True
-        kept = tuple(h for h in headers if h[0] != "content-length")
-        named = make_headers(self.resolved, Outcome.COMPLETED)
-        await self._exchange.respond(status, kept + named, body)
+        target_headers = tuple(
+            header for header in headers if header[0] != "content-length"
+        )
+        own_headers = make_headers(self.resolved, Outcome.COMPLETED)
+        await self._exchange.respond(status, target_headers + own_headers, body)
 
-    async def _break_off(self, error: IbisheadError) -> None:
-        # The status has left long ago. A stream can still say what happened; in any
-        # other body an error would pass for content, so the connection is cut.
+    async def _abort(self, error: IbisheadError) -> None:
+        # The status has already been sent. An event stream can still carry the error.
+        # In other bodies it would be taken for content, so the connection is aborted.
         if self._is_stream():
             _, body = encode_error(error)
             await self._exchange.send(b"event: error\ndata: " + body + b"\n\n")
--- a/src/ibishead/entry/resolution.py
+++ b/src/ibishead/entry/resolution.py
@@ -1,4 +1,4 @@
-"""What a call means by the document in force: adapter, version, class, duties."""
+"""Resolution of a call by its service document: adapter, version, class and team."""
 
 import hashlib
 from dataclasses import dataclass
@@ -21,20 +21,23 @@
 from ibishead.keys import find_caller, require_caller
 from ibishead.messages import TargetKind
 
-__all__ = ["Resolved", "list_models", "resolve", "resolve_confirmed"]
+__all__ = ["ResolvedCall", "list_models", "resolve", "resolve_confirmed"]
 
-#: When a caller may come back to a host without a live lease; one is had or regained
-#: within a second or two where a quorum can be reached.
+#: Time after which a caller may retry at a host without a valid lease. Where a quorum
+#: is reachable, a host gets a lease within one or two seconds.
 UNCONFIRMED_RETRY_AFTER = timedelta(seconds=2)
 
 
 @dataclass(frozen=True)
-class Resolved:
-    """A call with all that the document decides about it.
-
-    :param team: whose fair share it counts against.
-    :param body: as the target gets it, naming the engine's own model name.
-    :param digest: SHA-256 over method, path and body; tells one key's uses apart.
+class ResolvedCall:
+    """A call with everything that its service document decides.
+
+    :param team: the team whose fair share the call counts against.
+    :param share: that team's share in the document.
+    :param source: location of the adapter's weights, or empty.
+    :param body: as sent to the target, with the engine's model name.
+    :param digest: SHA-256 over method, path, adapter and body, by which the reuse of an
+        idempotency key for a different request is detected.
     """
 
     call: Call
@@ -49,15 +52,15 @@
 
     @property
     def document(self) -> ServiceDocument:
-        """The document that decided."""
+        """The service document by which the call was resolved."""
         return self.held.document
 
 
-def resolve_confirmed(call: Call, catalog: Catalog, current: bool) -> Resolved:
-    """Compare a call with the newest document, and refuse by confirmed ones only.
+def resolve_confirmed(call: Call, catalog: Catalog, current: bool) -> ResolvedCall:
+    """Resolve a call, and reject it only by documents that are confirmed.
 
-    :param current: a live lease vouches for the documents held.
-    :raises Unavailable: the call would be refused by documents that may be old.
+    :param current: whether a valid lease confirms this host's documents.
+    :raises Unavailable: unconfirmed documents reject the call.
     :raises IbisheadError: as `resolve`.
     """
     try:
@@ -65,28 +68,29 @@
     except (NotFound, Unauthorized) as error:
         if current:
             raise
-        # Failure: a host that is cut off, or has just started, doesn't hold the
-        # document that names the service, adapter or key. Told that there is none,
-        # the caller would not ask again, though others serve it.
+        # A host that is cut off or has just started may lack the document with the
+        # service, adapter or key. A permanent error would keep the caller from
+        # retrying, although other hosts serve the call.
         raise Unavailable(
-            f"no control quorum vouches for this host's documents, by which "
+            f"no control quorum confirms this host's documents, by which "
             f"{error.message}",
-            "send the request again after the given time",
+            "retry after the given time",
             code=ErrorCode.NO_QUORUM,
             retry_after=UNCONFIRMED_RETRY_AFTER,
         ) from error
 
 
-def resolve(call: Call, catalog: Catalog) -> Resolved:
-    """Compare a call with the newest document of its service.
+def resolve(call: Call, catalog: Catalog) -> ResolvedCall:
+    """Resolve a call by the newest document of its service.
 
-    :raises NotFound: the service, adapter, version or class doesn't exist.
-    :raises Unauthorized: the key doesn't open the service.
+    :raises NotFound: the service, adapter, version or class does not exist.
+    :raises InvalidInput: the service is of the other kind.
+    :raises Unauthorized: the API key does not give access to the service.
     """
     held = catalog.find_document(call.service)
     if held is None:
         raise NotFound(
-            f"no service is called {call.service!r}",
+            f"unknown service {call.service!r}",
             "use the name of a submitted document; see /v1/models",
             code=ErrorCode.UNKNOWN_SERVICE,
         )
@@ -105,7 +109,7 @@
         version = call.version or adapter.default
         source = adapter.source.replace("{version}", version)
     body = _make_body(call, document, version)
-    return Resolved(
+    return ResolvedCall(
         call=call,
         held=held,
         team=caller.team,
@@ -149,8 +153,8 @@
 
 
 def _digest(call: Call) -> str:
-    # Over what the caller sent, not over what a document made of it: a resend after
-    # a change of the default version is still the same request.
+    # Computed over the caller's input, not over the resolved call: a retry after a
+    # change of the default version is still the same request.
     body = call.body if call.payload is None else msgspec.json.encode(call.payload)
     adapter = f"{call.adapter}@{call.version}"
     head = f"{call.method} {call.path} {adapter}\n".encode()
@@ -158,7 +162,7 @@
 
 
 def list_models(catalog: Catalog, credential: str) -> list[tuple[ServiceName, str]]:
-    """Return service and model name of all that a key opens."""
+    """Return the service and model name of each model that a credential may use."""
     found: list[tuple[ServiceName, str]] = []
     for held in catalog.list_documents():
         document = held.document
--- a/src/ibishead/entry/routing.py
+++ b/src/ibishead/entry/routing.py
@@ -1,4 +1,4 @@
-"""Which class of its document a call belongs to, and so whether it may run twice."""
+"""Choice of a call's request class, which determines whether it is idempotent."""
 
 from urllib.parse import unquote
 
@@ -11,29 +11,35 @@
 
 
 def choose_class(
-    document: ServiceDocument, method: str, path: str, asked: ClassName
+    document: ServiceDocument, method: str, path: str, requested: ClassName
 ) -> RequestClass:
-    """Return the class of a call.
+    """Return the request class of a call.
 
-    The caller may ask for a class, but the document decides what may run twice: a
-    class asked for never lifts the protection that a route or the default gives.
+    The caller may request a class, but the document decides what is idempotent: for a
+    plain service a requested class never makes a call idempotent that the route or the
+    default class makes non-idempotent.
 
-    :param path: as the caller wrote it, without the query.
-    :param asked: the class that the caller names, or empty.
-    :raises NotFound: the document has no class of the name asked for.
+    :param path: as sent by the caller, without the query.
+    :param requested: the class that the caller requests, or empty.
+    :raises NotFound: the document has no class of that name.
     """
     match document.kind:
         case TargetKind.ENGINE:
-            return _find_class(document, asked or document.default_class)
+            return _find_class(document, requested or document.default_class)
         case TargetKind.PLAIN:
-            routed = [
-                _find_class(document, _route(document, method, reading))
-                for reading in _list_readings(path)
+            routed_classes = [
+                _find_class(document, _route(document, method, form))
+                for form in _list_path_forms(path)
             ]
-            chosen = _find_class(document, asked) if asked else routed[0]
+            chosen = (
+                _find_class(document, requested) if requested else routed_classes[0]
+            )
             if not chosen.idempotent:
                 return chosen
-            return next((c for c in routed if not c.idempotent), chosen)
+            return next(
+                (candidate for candidate in routed_classes if not candidate.idempotent),
+                chosen,
+            )
 
 
 def _find_class(document: ServiceDocument, name: ClassName) -> RequestClass:
@@ -65,11 +71,11 @@
     return path == prefix or path.startswith(prefix.rstrip("/") + "/")
 
 
-def _list_readings(path: str) -> tuple[str, ...]:
-    # Failure: a caller writes a protected path as /%69ssues, //issues or
-    # /stock/../issues, which many services take for /issues. No route knows it, it
-    # counts as idempotent and is repeated after a lost link. The path is matched
-    # both as written and as such a service reads it, and protection by either holds.
+def _list_path_forms(path: str) -> tuple[str, ...]:
+    # Many services treat /%69ssues, //issues and /stock/../issues as /issues. If such a
+    # path matched no route, a non-idempotent call would count as idempotent and be
+    # retried after a lost link. The path is therefore matched both as sent and in
+    # normalized form, and the call is non-idempotent if either form is.
     segments: list[str] = []
     for segment in unquote(path).split("/"):
         name = segment.partition(";")[0]
--- a/src/ibishead/entry/trace.py
+++ b/src/ibishead/entry/trace.py
@@ -1,4 +1,4 @@
-"""What each stage decided about a request, and why, for `ibishead explain`."""
+"""Record of each stage's decisions on a request, for `ibishead explain`."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -7,16 +7,17 @@
 
 from ibishead.ids import RequestId
 
-__all__ = ["Step", "Trace", "TraceBook"]
+__all__ = ["Step", "Trace", "TraceStore"]
 
-#: Requests remembered; at five a second for each entry host this is half an hour.
+#: Maximum number of traces stored. At five requests a second per entry host they cover
+#: half an hour.
 MAX_TRACES = 10_000
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One decision.
+    """One decision on a request.
 
-    :param at: seconds since the request came.
+    :param at: seconds since the request was received.
     """
 
     at: float
@@ -29,28 +30,31 @@
 class Trace:
     """The decisions on one request so far.
 
-    :param began: monotonic seconds.
+    :param received: when the request was received, in monotonic seconds.
     """
 
     request: RequestId
-    began: float
+    received: float
     steps: list[Step] = field(default_factory=list)
     outcome: str = "in progress"
 
     def add(self, now: float, stage: str, decision: str, reason: str = "") -> None:
-        """Note a decision made now."""
-        self.steps.append(Step(round(now - self.began, 4), stage, decision, reason))
+        """Append a decision made at ``now``, in monotonic seconds."""
+        self.steps.append(Step(round(now - self.received, 4), stage, decision, reason))
 
 
-class TraceBook:
-    """The traces of recent requests."""
+class TraceStore:
+    """The traces of the most recent requests.
+
+    :param limit: number of traces stored before the oldest is evicted.
+    """
 
     def __init__(self, limit: int = MAX_TRACES) -> None:
         self._limit = limit
         self._traces: OrderedDict[RequestId, Trace] = OrderedDict()
 
     def open(self, request: RequestId, now: float) -> Trace:
-        """Begin the trace of a request."""
+        """Store a new trace, evicting the oldest ones beyond the limit."""
         trace = Trace(request, now)
         self._traces[request] = trace
         while len(self._traces) > self._limit:
@@ -58,5 +62,5 @@
         return trace
 
     def find(self, request: RequestId) -> Trace | None:
-        """Return a trace, or none."""
+        """Return the trace of a request, or ``None``."""
         return self._traces.get(request)
--- a/tests/entry/test_attempts.py
+++ b/tests/entry/test_attempts.py
@@ -1,4 +1,4 @@
-"""How many attempts a request that may be repeated gets."""
+"""The number of attempts that an idempotent request gets."""
 
 from types import SimpleNamespace
 
@@ -8,7 +8,7 @@
 from ibishead.clock import SystemClock
 from ibishead.decisions.placement import Placed
 from ibishead.entry.call import parse_call
-from ibishead.entry.dispatching import Dispatcher, Ended, Job
+from ibishead.entry.dispatching import AttemptResult, Dispatcher, Job
 from ibishead.entry.resolution import resolve
 from ibishead.entry.trace import Trace
 from ibishead.errors import ErrorCode, Refused
@@ -28,18 +28,20 @@
 idempotent = yes
 """
 
-LOST = Ended(Outcome.NOT_RUN, ErrorCode.LINK_LOST, "the link was lost")
-NO_LOAD = Ended(Outcome.NOT_RUN, ErrorCode.LOAD_FAILED, "the adapter fails to load")
-WHOLE = Ended(Outcome.COMPLETED)
+LOST = AttemptResult(Outcome.NOT_RUN, ErrorCode.LINK_LOST, "the link was lost")
+LOAD_FAILED = AttemptResult(
+    Outcome.NOT_RUN, ErrorCode.LOAD_FAILED, "the adapter fails to load"
+)
+COMPLETED = AttemptResult(Outcome.COMPLETED)
 
 
 class ScriptedDispatcher(Dispatcher):
-    """Attempts that end as a script says, at one target after the other."""
+    """A dispatcher whose attempts, each at another target, end as listed."""
 
-    def __init__(self, ends):
+    def __init__(self, results):
         clock = SystemClock()
-        super().__init__(_AnyAgent(), Catalog(), clock, None)
-        self.ends = list(ends)
+        super().__init__(_FakeAgentPool(), Catalog(), clock, None)
+        self.results = list(results)
 
     async def choose(self, job, avoid):
         return Placed(TargetId(f"t{len(avoid)}"), "scripted", 0.0, False)
@@ -48,10 +50,10 @@
         job.admitted = True
 
     async def attempt(self, job, agent, grant=None):
-        return self.ends.pop(0)
+        return self.results.pop(0)
 
 
-class _AnyAgent:
+class _FakeAgentPool:
     def find(self, target):
         return SimpleNamespace(record=SimpleNamespace(target=target))
 
@@ -67,21 +69,24 @@
 
 
 @pytest.mark.parametrize(
-    ("ends", "served"),
+    ("results", "served"),
     [
-        ([LOST, LOST, NO_LOAD, WHOLE], True),
-        ([NO_LOAD, LOST, NO_LOAD, WHOLE], True),
-        ([NO_LOAD, NO_LOAD, NO_LOAD, WHOLE], False),
-        ([LOST, LOST, LOST, LOST, WHOLE], False),
+        ([LOST, LOST, LOAD_FAILED, COMPLETED], True),
+        ([LOAD_FAILED, LOST, LOAD_FAILED, COMPLETED], True),
+        ([LOAD_FAILED, LOAD_FAILED, LOAD_FAILED, COMPLETED], False),
+        ([LOST, LOST, LOST, LOST, COMPLETED], False),
     ],
 )
-async def test_attempts_that_no_target_got_leave_the_others(ends, served):
-    """Guards against a refusal after links fell silent while a target is free."""
-    dispatcher = ScriptedDispatcher(ends)
+async def test_undelivered_attempts_are_counted_separately(results, served):
+    """Attempts lost with their links must not use up the attempts that reach targets.
+
+    Otherwise a request is refused after links go silent although a target is free.
+    """
+    dispatcher = ScriptedDispatcher(results)
     if served:
         await dispatcher.run(make_job())
-        assert not dispatcher.ends
+        assert not dispatcher.results
     else:
         with pytest.raises(Refused):
             await dispatcher.run(make_job())
-        assert dispatcher.ends == [WHOLE]
+        assert dispatcher.results == [COMPLETED]
--- a/tests/entry/test_protection.py
+++ b/tests/entry/test_protection.py
@@ -1,4 +1,4 @@
-"""The document, not the caller, decides which calls may run twice."""
+"""The document, not the caller, decides which calls are idempotent."""
 
 import pytest
 
@@ -23,11 +23,15 @@
 deadline = 1 s
 idempotent = no
 """
-#: Reads unless a route says otherwise.
-OPEN = HEAD.format(default="read") + "[route:i]\npath = /issues\nclass = issue\n"
-POSTED = OPEN.replace("path", "method = POST\npath")
-#: Protected unless a route says otherwise.
-GUARDED = HEAD.format(default="issue") + "[route:s]\npath = /stock\nclass = read\n"
+#: Idempotent except for the route.
+IDEMPOTENT_DEFAULT = (
+    HEAD.format(default="read") + "[route:i]\npath = /issues\nclass = issue\n"
+)
+POST_ROUTE = IDEMPOTENT_DEFAULT.replace("path", "method = POST\npath")
+#: Non-idempotent except for the route.
+NON_IDEMPOTENT_DEFAULT = (
+    HEAD.format(default="issue") + "[route:s]\npath = /stock\nclass = read\n"
+)
 
 
 def resolve_call(text, method, path, headers=()):
@@ -40,22 +44,22 @@
 @pytest.mark.parametrize(
     ("text", "method", "path", "asked", "expected"),
     [
-        (OPEN, "POST", "/issues", "", "issue"),
-        (OPEN, "POST", "/issues/7", "", "issue"),
-        (OPEN, "POST", "/issuesx", "", "read"),
-        (OPEN, "POST", "/stock", "", "read"),
-        (OPEN, "POST", "/stock", "issue", "issue"),
-        (OPEN, "POST", "/issues", "read", "issue"),
-        (POSTED, "GET", "/issues", "", "read"),
-        (POSTED, "post", "/issues", "", "issue"),
-        (GUARDED, "POST", "/issues", "read", "issue"),
-        (GUARDED, "POST", "/other", "", "issue"),
-        (GUARDED, "GET", "/stock", "", "read"),
-        (GUARDED, "GET", "/stock/../issues", "", "issue"),
-        (GUARDED, "GET", "/stock/%2e%2e/issues", "", "issue"),
+        (IDEMPOTENT_DEFAULT, "POST", "/issues", "", "issue"),
+        (IDEMPOTENT_DEFAULT, "POST", "/issues/7", "", "issue"),
+        (IDEMPOTENT_DEFAULT, "POST", "/issuesx", "", "read"),
+        (IDEMPOTENT_DEFAULT, "POST", "/stock", "", "read"),
+        (IDEMPOTENT_DEFAULT, "POST", "/stock", "issue", "issue"),
+        (IDEMPOTENT_DEFAULT, "POST", "/issues", "read", "issue"),
+        (POST_ROUTE, "GET", "/issues", "", "read"),
+        (POST_ROUTE, "post", "/issues", "", "issue"),
+        (NON_IDEMPOTENT_DEFAULT, "POST", "/issues", "read", "issue"),
+        (NON_IDEMPOTENT_DEFAULT, "POST", "/other", "", "issue"),
+        (NON_IDEMPOTENT_DEFAULT, "GET", "/stock", "", "read"),
+        (NON_IDEMPOTENT_DEFAULT, "GET", "/stock/../issues", "", "issue"),
+        (NON_IDEMPOTENT_DEFAULT, "GET", "/stock/%2e%2e/issues", "", "issue"),
     ],
 )
-def test_class_of_a_call(text, method, path, asked, expected):
+def test_request_class_of_a_call(text, method, path, asked, expected):
     headers = (("x-ibishead-class", asked),) if asked else ()
     found = resolve_call(text, method, path, headers)
     assert found.request_class.name == expected
@@ -75,11 +79,14 @@
         "/issues;v=1",
     ],
 )
-def test_disguised_path_keeps_its_protection(path):
-    """A stock issue goes out twice, although the document protects /issues."""
-    assert resolve_call(OPEN, "POST", path).request_class.name == "issue"
+def test_equivalent_path_is_non_idempotent(path):
+    """Equivalent spellings of a non-idempotent path are non-idempotent too.
+
+    Otherwise a call that many services take for /issues is retried and runs twice.
+    """
+    assert resolve_call(IDEMPOTENT_DEFAULT, "POST", path).request_class.name == "issue"
 
 
-def test_path_is_passed_on_as_it_came():
-    found = resolve_call(OPEN, "POST", "/stock/%2e%2e/issues")
+def test_path_is_forwarded_unchanged():
+    found = resolve_call(IDEMPOTENT_DEFAULT, "POST", "/stock/%2e%2e/issues")
     assert found.call.path == "/stock/%2e%2e/issues"
--- a/tests/entry/test_questions.py
+++ b/tests/entry/test_questions.py
@@ -1,4 +1,4 @@
-"""Questions to control whose answers come twice, late or in another order."""
+"""Claim requests to control whose answers are duplicated, delayed or reordered."""
 
 import asyncio
 import contextlib
@@ -34,7 +34,7 @@
 
 REQUEST, TEAM, SERVICE = RequestId("r1"), TeamId("t"), ServiceName("s")
 KEY, TARGET = IdempotencyKey("k"), TargetId("x")
-ASK = AskClaim(REQUEST, TEAM, SERVICE, KEY, "d", TARGET, Incarnation(1), 60.0)
+CLAIM = AskClaim(REQUEST, TEAM, SERVICE, KEY, "d", TARGET, Incarnation(1), 60.0)
 NOT_RUN = ResolveClaim(REQUEST, TEAM, SERVICE, KEY, Generation(1), Outcome.NOT_RUN)
 
 
@@ -53,8 +53,8 @@
     )
 
 
-async def wait_sent(link: FakeLink, kind: type, count: int = 1) -> int:
-    """Return the number of the question once so many different ones were sent."""
+async def wait_until_sent(link: FakeLink, kind: type, count: int = 1) -> int:
+    """Wait until ``count`` distinct requests were sent; return the highest number."""
     numbers: set[int] = set()
     while len(numbers) < count:
         await asyncio.sleep(0)
@@ -79,35 +79,43 @@
 
 
 @pytest.mark.parametrize("late", [1, 3])
-async def test_a_second_answer_to_a_proof_is_no_answer_to_the_next_claim(late):
-    """A call that didn't run is told that it may have, as a question was sent again."""
+async def test_duplicate_resolution_answer_does_not_answer_the_next_claim(late):
+    """A duplicate answer to a resolution must not answer the next claim request.
+
+    Otherwise a call that did not run is reported as one that may have. A resolution
+    that is sent again is answered twice.
+    """
     link = FakeLink()
     async with follow(link) as subscription:
-        proof = asyncio.create_task(subscription.resolve(NOT_RUN, 5.0))
-        proved = await wait_sent(link, ResolveClaim)
-        link.inbox.put_nowait(answer(ClaimState.NOT_RUN, 1, proved))
-        assert (await proof).state is ClaimState.NOT_RUN
-        claim = asyncio.create_task(subscription.claim(ASK, 5.0))
-        asked = await wait_sent(link, AskClaim)
+        resolution = asyncio.create_task(subscription.resolve(NOT_RUN, 5.0))
+        resolution_number = await wait_until_sent(link, ResolveClaim)
+        link.inbox.put_nowait(answer(ClaimState.NOT_RUN, 1, resolution_number))
+        assert (await resolution).state is ClaimState.NOT_RUN
+        claim = asyncio.create_task(subscription.claim(CLAIM, 5.0))
+        claim_number = await wait_until_sent(link, AskClaim)
         for _ in range(late):
-            link.inbox.put_nowait(answer(ClaimState.NOT_RUN, 1, proved))
-        link.inbox.put_nowait(answer(ClaimState.GRANTED, 2, asked))
+            link.inbox.put_nowait(answer(ClaimState.NOT_RUN, 1, resolution_number))
+        link.inbox.put_nowait(answer(ClaimState.GRANTED, 2, claim_number))
         granted = await claim
     assert (granted.state, granted.generation) == (ClaimState.GRANTED, 2)
 
 
-async def test_a_second_answer_for_one_key_is_no_answer_for_the_next():
-    """A caller of two keys under one request id is told the first one's holder."""
+async def test_duplicate_answer_does_not_answer_a_claim_for_another_key():
+    """A duplicate answer for one key must not answer a claim for another key.
+
+    Otherwise a caller that uses two keys under one request id gets the first key's
+    holder for the second.
+    """
     link = FakeLink()
     next_key = IdempotencyKey("k2")
     async with follow(link) as subscription:
-        claim = asyncio.create_task(subscription.claim(ASK, 5.0))
-        first = await wait_sent(link, AskClaim)
+        claim = asyncio.create_task(subscription.claim(CLAIM, 5.0))
+        first = await wait_until_sent(link, AskClaim)
         link.inbox.put_nowait(answer(ClaimState.COMPLETED, 1, first))
         await claim
-        ask = msgspec.structs.replace(ASK, key=next_key)
-        claim = asyncio.create_task(subscription.claim(ask, 5.0))
-        second = await wait_sent(link, AskClaim, 2)
+        next_claim = msgspec.structs.replace(CLAIM, key=next_key)
+        claim = asyncio.create_task(subscription.claim(next_claim, 5.0))
+        second = await wait_until_sent(link, AskClaim, 2)
         link.inbox.put_nowait(answer(ClaimState.COMPLETED, 1, first))
         granted = msgspec.structs.replace(
             answer(ClaimState.GRANTED, 2, second), key=next_key
@@ -116,45 +124,56 @@
         assert await claim == granted
 
 
-async def test_an_earlier_answer_about_a_claim_is_no_answer_to_the_next_ask():
-    """An order is sent under a grant that was given up, as it was answered twice."""
+async def test_duplicate_claim_answer_does_not_answer_the_next_request():
+    """A duplicate answer to an earlier claim request must not answer the next one.
+
+    Otherwise a request is sent under a grant that was already released.
+    """
     link = FakeLink()
     async with follow(link) as subscription:
-        claim = asyncio.create_task(subscription.claim(ASK, 5.0))
-        first = await wait_sent(link, AskClaim)
+        claim = asyncio.create_task(subscription.claim(CLAIM, 5.0))
+        first = await wait_until_sent(link, AskClaim)
         link.inbox.put_nowait(answer(ClaimState.GRANTED, 1, first))
         await claim
-        claim = asyncio.create_task(subscription.claim(ASK, 5.0))
-        second = await wait_sent(link, AskClaim, 2)
+        claim = asyncio.create_task(subscription.claim(CLAIM, 5.0))
+        second = await wait_until_sent(link, AskClaim, 2)
         link.inbox.put_nowait(answer(ClaimState.GRANTED, 1, first))
         link.inbox.put_nowait(answer(ClaimState.GRANTED, 2, second))
         assert (await claim).generation == 2
 
 
-async def test_an_earlier_refusal_doesnt_end_the_next_ask():
-    """A claim that is granted is told as refused, as the ask before it was."""
+async def test_duplicate_refusal_does_not_end_the_next_request():
+    """A duplicate refusal of an earlier claim request must not end the next one.
+
+    Otherwise a claim that is granted is reported as refused.
+    """
     link = FakeLink()
     async with follow(link) as subscription:
-        claim = asyncio.create_task(subscription.claim(ASK, 5.0))
-        first = await wait_sent(link, AskClaim)
+        claim = asyncio.create_task(subscription.claim(CLAIM, 5.0))
+        first = await wait_until_sent(link, AskClaim)
         refusal = Refusal(REQUEST, ErrorCode.NO_QUORUM, "no quorum", question=first)
         link.inbox.put_nowait(refusal)
         with pytest.raises(Unavailable):
             await claim
-        claim = asyncio.create_task(subscription.claim(ASK, 5.0))
-        second = await wait_sent(link, AskClaim, 2)
+        claim = asyncio.create_task(subscription.claim(CLAIM, 5.0))
+        second = await wait_until_sent(link, AskClaim, 2)
         link.inbox.put_nowait(refusal)
         link.inbox.put_nowait(answer(ClaimState.GRANTED, 1, second))
         assert (await claim).state is ClaimState.GRANTED
 
 
-async def test_two_asks_of_one_request_are_refused_apart():
-    """Of two claims under one request id one is held until its time is up."""
+async def test_two_claims_of_one_request_are_refused_separately():
+    """Refusals of two claims under one request id must each end their own claim.
+
+    Otherwise one of the claims waits until its timeout.
+    """
     link = FakeLink()
     async with follow(link) as subscription:
-        ask = msgspec.structs.replace(ASK, key=IdempotencyKey("k2"))
-        claims = [asyncio.create_task(subscription.claim(a, 5.0)) for a in (ASK, ask)]
-        last = await wait_sent(link, AskClaim, 2)
+        next_claim = msgspec.structs.replace(CLAIM, key=IdempotencyKey("k2"))
+        claims = [
+            asyncio.create_task(subscription.claim(a, 5.0)) for a in (CLAIM, next_claim)
+        ]
+        last = await wait_until_sent(link, AskClaim, 2)
         for question in (last - 1, last):
             refusal = Refusal(REQUEST, ErrorCode.NO_QUORUM, "none", question=question)
             link.inbox.put_nowait(refusal)
@@ -163,15 +182,22 @@
                 await asyncio.wait_for(claim, 1.0)
 
 
-async def test_a_refusal_ends_the_claim_that_it_names():
-    """A claim without a quorum is held until its time is up."""
+async def test_refusal_ends_the_claim_with_its_number():
+    """A refusal ends the claim request with its number, and no other.
+
+    Otherwise a refused claim waits until its timeout.
+    """
     link = FakeLink()
     async with follow(link) as subscription:
-        claim = asyncio.create_task(subscription.claim(ASK, 5.0))
-        asked = await wait_sent(link, AskClaim)
-        other = Refusal("r2", ErrorCode.NO_QUORUM, "no quorum", question=asked + 1)
+        claim = asyncio.create_task(subscription.claim(CLAIM, 5.0))
+        claim_number = await wait_until_sent(link, AskClaim)
+        other = Refusal(
+            "r2", ErrorCode.NO_QUORUM, "no quorum", question=claim_number + 1
+        )
         link.inbox.put_nowait(other)
-        refusal = Refusal(REQUEST, ErrorCode.UNKNOWN_TARGET, "gone", question=asked)
+        refusal = Refusal(
+            REQUEST, ErrorCode.UNKNOWN_TARGET, "gone", question=claim_number
+        )
         link.inbox.put_nowait(refusal)
         with pytest.raises(NotFound):
             await claim
--- a/tests/entry/test_refusals.py
+++ b/tests/entry/test_refusals.py
@@ -1,4 +1,4 @@
-"""A refusal before dispatch names its request and outcome, and can be explained."""
+"""Refusals before dispatch: response headers, trace, log record and metrics."""
 
 import json
 import logging
@@ -36,8 +36,8 @@
 """
 
 
-class Confirmed:
-    """A subscription whose documents a live lease vouches for."""
+class ConfirmedSubscription:
+    """A fake subscription whose documents are confirmed by a valid lease."""
 
     def __init__(self):
         self.catalog = Catalog()
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 async def entry(metrics):
-    clock, subscription = SystemClock(), Confirmed()
+    clock, subscription = SystemClock(), ConfirmedSubscription()
     placer = Placer(clock, FailureDomain("szeged-a"), random.Random(1))
     pool = AgentPool(lambda: None, clock, observer=placer)
     dispatcher = Dispatcher(pool, subscription.catalog, clock, placer)
@@ -66,7 +66,7 @@
     await server.stop(grace=0.0)
 
 
-def name_model(model):
+def encode_body(model):
     return json.dumps({"model": model}).encode()
 
 
@@ -77,13 +77,13 @@
         (b"[]", 400, "parse", "invalid_input"),
         (b'{"model": "\xff"}', 400, "parse", "invalid_input"),
         (b"{}", 400, "parse", "invalid_input"),
-        (name_model("nobody/tisza"), 404, "resolve", "unknown_service"),
-        (name_model("mester/duna"), 404, "resolve", "unknown_adapter"),
-        (name_model("mester/tisza@9"), 404, "resolve", "unknown_version"),
-        (name_model("mester/tisza@1"), 503, "admit", "no_target"),
+        (encode_body("nobody/tisza"), 404, "resolve", "unknown_service"),
+        (encode_body("mester/duna"), 404, "resolve", "unknown_adapter"),
+        (encode_body("mester/tisza@9"), 404, "resolve", "unknown_version"),
+        (encode_body("mester/tisza@1"), 503, "admit", "no_target"),
     ],
 )
-async def test_refusal_is_told_counted_and_logged(
+async def test_refusal_is_reported_traced_counted_and_logged(
     entry, metrics, caplog, body, status, stage, code
 ):
     caplog.set_level(logging.INFO)
--- a/tests/entry/test_timing.py
+++ b/tests/entry/test_timing.py
@@ -1,4 +1,4 @@
-"""What the histograms are told about an answer."""
+"""The latencies of an answer that are recorded in the histograms."""
 
 import pytest
 
@@ -27,16 +27,16 @@
             ],
         ),
         ([HEAD, END], ["wait_seconds_count{} 1"]),
-        # The first attempt broke off after its head
+        # The first attempt failed after its head
         ([HEAD, HEAD, BODY], ["wait_seconds_count{} 2", "first_token_seconds_sum{} 3"]),
     ],
 )
-def test_frames_become_observations(frames, lines):
+def test_frames_are_recorded_in_the_histograms(frames, lines):
     clock, metrics = ManualClock(), Metrics("entry")
     timer = AnswerTimer(metrics, clock.monotonic, clock.monotonic(), "tisza", "draft")
     for frame in frames:
         clock.step(1.0)
-        timer.note(frame)
+        timer.record(frame)
     text = metrics.render()[1].decode()
     for line in lines:
         assert (
--- a/tests/entry/test_unconfirmed.py
+++ b/tests/entry/test_unconfirmed.py
@@ -1,4 +1,4 @@
-"""A host whose documents nobody vouches for doesn't say what there isn't."""
+"""A host without a lease must not permanently reject calls by its documents."""
 
 import pytest
 
@@ -44,8 +44,11 @@
         ("raktar", OTHER_CLASS, NotFound),
     ],
 )
-def test_unconfirmed_documents_refuse_nothing_for_good(service, headers, error):
-    """A caller is told that its service doesn't exist, and gives up."""
+def test_unconfirmed_documents_reject_only_temporarily(service, headers, error):
+    """Rejections by unconfirmed documents must be temporary errors.
+
+    Otherwise a caller is told that its service does not exist, and stops retrying.
+    """
     with pytest.raises(error):
         resolve_call(service, headers, current=True)
     with pytest.raises(Unavailable) as caught:
@@ -54,6 +57,6 @@
     assert caught.value.retry_after
 
 
-def test_unconfirmed_documents_may_still_serve():
-    # Whether they do is the document's choice, which the agent's gate enforces
+def test_unconfirmed_documents_can_still_resolve_calls():
+    # The document decides whether they do, and the agent's gate enforces it
     assert resolve_call("raktar", KEY, current=False).team == "halo"
