--- a/src/ibishead/entry/dispatching.py
+++ b/src/ibishead/entry/dispatching.py
@@ -50,7 +50,7 @@
 #: Seconds that a request waits for a target to become reachable again. All links of a
 #: host may go silent at once while every target is healthy. This time covers closing
 #: the links after targets have been marked unreachable, and dialling them again.
-REACH_PATIENCE = SILENCE_LIMIT
+REACH_TIMEOUT_SECONDS = SILENCE_LIMIT
 
 #: Seconds to wait for an agent to report whether a cancelled attempt had started.
 CANCEL_REPLY_TIMEOUT_SECONDS = 0.5
@@ -139,7 +139,7 @@
         """Return the placement of the next attempt, or ``None`` if no target is usable.
 
         While targets are known but none is reachable, waits for links for up to
-        `REACH_PATIENCE`.
+        `REACH_TIMEOUT_SECONDS`.
 
         :param avoid: targets that must not be chosen.
         """
@@ -148,7 +148,7 @@
             self._trace(job, "place", "waits", "no target is reachable")
             remaining = job.deadline - self._clock.monotonic()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(REACH_PATIENCE, remaining)):
+                async with asyncio.timeout(min(REACH_TIMEOUT_SECONDS, remaining)):
                     while placed is None:
                         await self._placer.wait_for_change()
                         placed = self._placer.place(job.resolved, avoid)
--- a/tests/entry/test_reach.py
+++ b/tests/entry/test_reach.py
@@ -1,7 +1,7 @@
 """The time that a request waits for targets whose links have gone silent."""
 
 from ibishead.entry.agents import REDIAL_INTERVAL_SECONDS
-from ibishead.entry.dispatching import REACH_PATIENCE
+from ibishead.entry.dispatching import REACH_TIMEOUT_SECONDS
 from ibishead.entry.placing import REPORT_TIMEOUT_SECONDS
 from ibishead.links import TICKS_PER_INTERVAL
 from ibishead.session import HEARTBEAT_INTERVAL, SILENCE_LIMIT
@@ -18,5 +18,5 @@
     )
     assert (
         link_closed_after - REPORT_TIMEOUT_SECONDS + REDIAL_INTERVAL_SECONDS
-        <= REACH_PATIENCE
+        <= REACH_TIMEOUT_SECONDS
     )
--- a/tests/proofs/test_promises.py
+++ b/tests/proofs/test_promises.py
@@ -15,7 +15,7 @@
 from tests.proofs.virtual import run_virtual
 from tests.proofs.world import ADAPTERS, CONTROL_HOST, Call, Slot, World, expect_text
 
-from ibishead.entry.dispatching import REACH_PATIENCE
+from ibishead.entry.dispatching import REACH_TIMEOUT_SECONDS
 from ibishead.ids import HostId
 from ibishead.messages import Outcome
 
@@ -195,7 +195,7 @@
 
 
 #: Seconds of a cut that outlasts the patience of a request without a target.
-OUTAGE = 4.0 + REACH_PATIENCE
+OUTAGE = 4.0 + REACH_TIMEOUT_SECONDS
 
 
 def list_outcomes(*steps) -> list[Outcome | None]:
