--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -76,8 +76,8 @@
     Guard(
         "runs without answers leave their places in the batch",
         "agent/scheduler.py",
-        "return stopped or overdue or attempt",
-        "return stopped or attempt",
+        "return stream_idle or overdue or attempt",
+        "return stream_idle or attempt",
         (
             "tests/proofs/test_lost_answers.py"
             "::test_runs_without_answers_leave_their_places_in_the_batch",
@@ -189,7 +189,7 @@
     Guard(
         "pinned slots stay",
         "agent/slots.py",
-        "if slot.pins or slot.lingering:",
+        "if slot.pins or slot.orphaned_pins:",
         "if False:",
         (f"{SLOTS}::test_pinned_adapter_is_not_evicted",),
     ),
@@ -203,14 +203,14 @@
     Guard(
         "one sample doesn't end a lingering pin",
         "agent/slots.py",
-        "CLEAR_SAMPLES = 2",
-        "CLEAR_SAMPLES = 1",
+        "RELEASE_SAMPLES = 2",
+        "RELEASE_SAMPLES = 1",
         (f"{SLOTS}::test_caller_that_left_doesnt_free_the_adapter",),
     ),
     Guard(
         "a restarted agent pins what it finds",
         "agent/slots.py",
-        "_Slot(SlotState.RESIDENT, lingering=1, last_used=now)",
+        "_Slot(SlotState.RESIDENT, orphaned_pins=1, last_used=now)",
         "_Slot(SlotState.RESIDENT, last_used=now)",
         (f"{SLOTS}::test_restarted_agent_pins_what_the_engine_holds",),
     ),
@@ -226,21 +226,21 @@
     Guard(
         "an answer names the adapter that was asked for",
         "agent/runner.py",
-        "if answer.status == 200 and not _names_adapter(attempt, payload):",
+        "if answer.status == 200 and not _matches_adapter(attempt, payload):",
         "if False:",
         ("tests/agent/test_runner.py::test_answer_of_another_model_is_held_back",),
     ),
     Guard(
         "an attempt that was given up never runs",
         "agent/gate.py",
-        "if taken is False:",
+        "if admitted is False:",
         "if False:",
         (f"{GATE}::test_buried_attempt_never_runs",),
     ),
     Guard(
         "a repeated dispatch is not run again",
         "agent/gate.py",
-        "        if taken:\n",
+        "        if admitted:\n",
         "        if False:\n",
         (f"{GATE}::test_attempt_runs_once_however_often_it_is_dispatched",),
     ),
@@ -271,15 +271,15 @@
     Guard(
         "no lease on either side, no run",
         "agent/gate.py",
-        "if unsure and state.unconfirmed is Unconfirmed.REFUSE:",
+        "if unconfirmed_run and state.unconfirmed is Unconfirmed.REFUSE:",
         "if False:",
         (f"{GATE}::test_gate_decides",),
     ),
     Guard(
         "a new agent proves nothing",
         "agent/reception.py",
-        "elif self._own(resume.incarnation) and self._gate.bury(key):",
-        "elif self._gate.bury(key):",
+        "elif self._is_own(resume.incarnation) and self._gate.add_tombstone(key):",
+        "elif self._gate.add_tombstone(key):",
         (f"{PROMISES}::test_new_agent_doesnt_vouch_for_the_one_before",),
     ),
     Guard(
@@ -342,7 +342,7 @@
     Guard(
         "a planned stop finishes what runs",
         "agent/scheduler.py",
-        "while self._list_open() or self._owes_frames():",
+        "while self._list_unfinished() or self._has_undelivered_frames():",
         "while False:",
         (f"{PROMISES}::test_leaving_target_gets_no_new_work_and_cuts_nothing",),
     ),
--- a/src/ibishead/agent/agent.py
+++ b/src/ibishead/agent/agent.py
@@ -7,7 +7,7 @@
 from ibishead.agent.gate import GateState
 from ibishead.agent.reception import Reception
 from ibishead.agent.registrar import ControlRegistrar
-from ibishead.agent.scheduler import Scheduler, TargetShape
+from ibishead.agent.scheduler import Scheduler, TargetCapacity
 from ibishead.agent.target import TargetClient
 from ibishead.clock import Clock
 from ibishead.documents import Unconfirmed
@@ -23,7 +23,7 @@
 
 #: Seconds for which an agent that leaves stays linked, at least, so that entry hosts
 #: hear of it first.
-LEAVE_TIME = 1.0
+MIN_DRAIN_SECONDS = 1.0
 
 
 class Agent:
@@ -47,34 +47,39 @@
             self.greet,
             clock,
             services=(settings.service,),
-            changed=self._review,
-            connected=self._attach,
+            changed=self._handle_catalog_change,
+            connected=self._reattach,
             tls=make_client_context(settings.peer_tls) if settings.peer_tls else None,
             dialer=dialer,
         )
         self.registrar = ControlRegistrar(
-            self._subscription, _announce(settings, endpoint), clock
+            self._subscription, _make_registration(settings, endpoint), clock
         )
         is_engine = settings.kind is TargetKind.ENGINE
-        shape = TargetShape(
+        capacity = TargetCapacity(
             settings.target,
             is_engine,
             settings.batch,
             settings.slots,
             settings.failure_backoff.total_seconds(),
         )
-        self.scheduler = Scheduler(shape, client, self.registrar, clock, self.metrics)
+        self.scheduler = Scheduler(
+            capacity, client, self.registrar, clock, self.metrics
+        )
         self._reception = Reception(
-            self.scheduler, self.tell_gate, self.registrar.owned, clock
+            self.scheduler,
+            self.read_gate_state,
+            self.registrar.is_own_incarnation,
+            clock,
         )
-        self._reporting: asyncio.Task[None] | None = None
+        self._report_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Begin to run work, and return once the target is registered."""
         self._subscription.start()
         self.scheduler.start()
         await self.registrar.register()
-        self._reporting = asyncio.create_task(self._reception.report_for_ever())
+        self._report_task = asyncio.create_task(self._reception.report_load())
 
     async def serve(self, link: Link) -> None:
         """Serve an entry host's link until it is over."""
@@ -85,15 +90,15 @@
         self.scheduler.begin_drain()
         # What is on its way here is refused as not run. With the links closed nobody
         # could tell what became of it.
-        await asyncio.sleep(LEAVE_TIME)
+        await asyncio.sleep(MIN_DRAIN_SECONDS)
         await self.scheduler.finish()
 
     async def stop(self) -> None:
         """Stop at once."""
-        if self._reporting is not None:
-            self._reporting.cancel()
+        if self._report_task is not None:
+            self._report_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self._reporting
+                await self._report_task
         await self.scheduler.stop()
         await self._subscription.stop()
 
@@ -101,7 +106,7 @@
         """Return what this agent says of itself on each link."""
         return Hello(Role.AGENT, self._settings.host, self.registrar.incarnation)
 
-    def tell_gate(self) -> GateState:
+    def read_gate_state(self) -> GateState:
         """Return what the gate must know at this moment."""
         catalog = self._subscription.catalog
         held = catalog.find_document(self._settings.service)
@@ -115,17 +120,17 @@
             ),
         )
 
-    def _review(self) -> None:
-        self.registrar.review()
+    def _handle_catalog_change(self) -> None:
+        self.registrar.check_catalog()
         record = self._subscription.catalog.find_target(self._settings.target)
         if record is not None and record.draining:
             self.scheduler.begin_drain()
 
-    async def _attach(self) -> None:
-        self.registrar.attach()
+    async def _reattach(self) -> None:
+        self.registrar.reattach()
 
 
-def _announce(settings: AgentSettings, endpoint: Endpoint) -> AskRegistration:
+def _make_registration(settings: AgentSettings, endpoint: Endpoint) -> AskRegistration:
     endpoint = settings.announce or endpoint
     return AskRegistration(
         uuid.uuid4().hex,
--- a/src/ibishead/agent/attempts.py
+++ b/src/ibishead/agent/attempts.py
@@ -29,7 +29,7 @@
 
 #: Seconds that frames nobody watches are kept. An entry host that lost its link is
 #: back within a second or two; one that died leaves its caller to ask elsewhere.
-RETENTION = 60.0
+RETENTION_SECONDS = 60.0
 
 
 class AttemptState(Enum):
@@ -61,18 +61,18 @@
     state: AttemptState = AttemptState.QUEUED
     buffer: FrameBuffer = field(default_factory=FrameBuffer)
     watchers: set[Link] = field(default_factory=set)
-    room: asyncio.Event = field(default_factory=asyncio.Event)
+    buffer_space: asyncio.Event = field(default_factory=asyncio.Event)
     task: asyncio.Task[None] | None = None
     refusal: NotRun | None = None
     ready_at: float | None = None
     started: float = 0.0
-    shown: int = 0
-    quiet_since: float = 0.0
-    absences: int = 0
-    silent: bool = False
+    frames_seen: int = 0
+    last_progress: float = 0.0
+    absent_samples: int = 0
+    unresponsive: bool = False
     ended: float = 0.0
     sent: bool = False
-    requeued: int = 0
+    requeue_count: int = 0
     tail: StreamTail | None = None
     _acknowledged: int = 0
 
@@ -134,7 +134,7 @@
         """
         if self.tail is None:
             return False
-        end = self.tail.judge(self.dispatch.body)
+        end = self.tail.classify(self.dispatch.body)
         if end is StreamEnd.FINISHED:
             self.emit_body(DONE_EVENT)
         return end is not StreamEnd.UNFINISHED
@@ -173,7 +173,7 @@
         for link in self.watchers:
             link.send(self.refusal)
 
-    def watch(self, link: Link, next_sequence: Sequence) -> None:
+    def add_watcher(self, link: Link, next_sequence: Sequence) -> None:
         """Send what is owed from a sequence on, and all that follows, to a link."""
         self.watchers.add(link)
         if self.refusal is not None:
@@ -181,7 +181,7 @@
             return
         frames = self.buffer.list_from(next_sequence)
         if frames is None:
-            frames = [self._describe_forgotten(next_sequence)]
+            frames = [self._make_discarded_end(next_sequence)]
         for frame in frames:
             link.send(frame)
 
@@ -202,29 +202,29 @@
         if self.dispatch.idempotent or self.buffer.full:
             self.buffer.acknowledge(next_sequence)
         if not self.buffer.full:
-            self.room.set()
+            self.buffer_space.set()
 
-    async def wait_for_room(self) -> None:
+    async def wait_for_buffer_space(self) -> None:
         """Pause the target while the caller reads more slowly than it writes."""
         while self.buffer.full:
-            self.room.clear()
-            await self.room.wait()
+            self.buffer_space.clear()
+            await self.buffer_space.wait()
 
-    def is_forgettable(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Whether nobody can ask for the frames any more."""
         if self.state is not AttemptState.ENDED:
             return False
         delivered = self.buffer.delivered or self.refusal is not None
         if delivered and self.dispatch.idempotent:
             return True
-        return now - self.ended > RETENTION
+        return now - self.ended > RETENTION_SECONDS
 
     def _emit(self, frame: Frame) -> None:
         self.buffer.append(frame)
         for link in self.watchers:
             link.send(frame)
 
-    def _describe_forgotten(self, next_sequence: Sequence) -> AnswerEnd:
+    def _make_discarded_end(self, next_sequence: Sequence) -> AnswerEnd:
         return AnswerEnd(
             self.dispatch.request,
             self.dispatch.attempt,
@@ -253,14 +253,14 @@
         """Return the attempts in some states, oldest first."""
         return [a for a in self._attempts.values() if a.state in states]
 
-    def drop_watcher(self, link: Link) -> None:
+    def remove_watcher(self, link: Link) -> None:
         """Forget a link that is over; its attempts go on."""
         for attempt in self._attempts.values():
             attempt.watchers.discard(link)
 
-    def forget(self, now: float) -> list[Attempt]:
+    def remove_expired(self, now: float) -> list[Attempt]:
         """Drop what nobody can ask for any more, and return it."""
-        gone = [a for a in self._attempts.values() if a.is_forgettable(now)]
-        for attempt in gone:
+        expired = [a for a in self._attempts.values() if a.is_expired(now)]
+        for attempt in expired:
             del self._attempts[attempt.key]
-        return gone
+        return expired
--- a/src/ibishead/agent/gate.py
+++ b/src/ibishead/agent/gate.py
@@ -17,11 +17,11 @@
 
 #: Attempts whose end is remembered. At ten requests a second this spans more than
 #: an hour, far beyond the life of any link or deadline.
-MAX_REMEMBERED = 50_000
+MAX_RECORDED_ATTEMPTS = 50_000
 
 #: Seconds after which a caller refused for want of a lease may come back: about the
 #: time of an election.
-LEASE_RETRY_AFTER = 1.0
+NO_LEASE_RETRY_AFTER_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
@@ -48,12 +48,12 @@
 
 
 @dataclass(frozen=True)
-class Taken:
+class Admitted:
     """The attempt is new and may be queued."""
 
 
 @dataclass(frozen=True)
-class Repeated:
+class Duplicate:
     """The attempt is known; its frames, not another run, are the answer."""
 
 
@@ -73,51 +73,51 @@
 class Gate:
     """Remembers attempts and decides on each dispatch."""
 
-    def __init__(self, remembered: int = MAX_REMEMBERED) -> None:
-        self._known: OrderedDict[AttemptKey, bool] = OrderedDict()
-        self._remembered = remembered
+    def __init__(self, capacity: int = MAX_RECORDED_ATTEMPTS) -> None:
+        self._admissions: OrderedDict[AttemptKey, bool] = OrderedDict()
+        self._capacity = capacity
 
     def check(
         self, dispatch: Dispatch, state: GateState
-    ) -> Taken | Repeated | Rejected:
+    ) -> Admitted | Duplicate | Rejected:
         """Decide on a dispatch, and remember it."""
         key = AttemptKey(dispatch.request, dispatch.attempt)
-        taken = self._known.get(key)
+        admitted = self._admissions.get(key)
         # A dispatch that sat in a frozen sender arrives after its entry host was
         # told "not run": running it now would break that word.
-        if taken is False:
+        if admitted is False:
             return Rejected(ErrorCode.NEVER_RECEIVED, "the attempt was given up")
-        if taken:
-            return Repeated()
-        rejected = _find_objection(dispatch, state)
-        self._remember(key, rejected is None)
-        return rejected or Taken()
+        if admitted:
+            return Duplicate()
+        rejected = _find_rejection(dispatch, state)
+        self._record(key, rejected is None)
+        return rejected or Admitted()
 
-    def give_up(self, key: AttemptKey) -> None:
+    def revoke_admission(self, key: AttemptKey) -> None:
         """Note that an attempt which was taken in has been refused after all.
 
         Its refusal is forgotten with its frames; a later question about it must
         still find the proof that it never ran.
         """
-        self._remember(key, False)
+        self._record(key, False)
 
-    def bury(self, key: AttemptKey) -> bool:
+    def add_tombstone(self, key: AttemptKey) -> bool:
         """Make sure that an attempt never runs.
 
         :returns: False when it was taken in already, so that nothing is promised.
         """
-        if self._known.get(key):
+        if self._admissions.get(key):
             return False
-        self._remember(key, False)
+        self._record(key, False)
         return True
 
-    def _remember(self, key: AttemptKey, taken: bool) -> None:
-        self._known[key] = taken
-        while len(self._known) > self._remembered:
-            self._known.popitem(last=False)
+    def _record(self, key: AttemptKey, admitted: bool) -> None:
+        self._admissions[key] = admitted
+        while len(self._admissions) > self._capacity:
+            self._admissions.popitem(last=False)
 
 
-def _find_objection(dispatch: Dispatch, state: GateState) -> Rejected | None:
+def _find_rejection(dispatch: Dispatch, state: GateState) -> Rejected | None:
     # An attempt meant for an earlier incarnation may have run there before the
     # agent restarted; only this incarnation's own attempts are known here.
     if dispatch.incarnation != state.incarnation:
@@ -139,11 +139,11 @@
         )
     # With no live lease on either side nobody can tell whether a newer document is
     # in force elsewhere.
-    unsure = not dispatch.confirmed and not state.current
-    if unsure and state.unconfirmed is Unconfirmed.REFUSE:
+    unconfirmed_run = not dispatch.confirmed and not state.current
+    if unconfirmed_run and state.unconfirmed is Unconfirmed.REFUSE:
         return Rejected(
             ErrorCode.NO_QUORUM,
             "no control quorum vouches for the document",
-            LEASE_RETRY_AFTER,
+            NO_LEASE_RETRY_AFTER_SECONDS,
         )
     return None
--- a/src/ibishead/agent/loader.py
+++ b/src/ibishead/agent/loader.py
@@ -25,13 +25,13 @@
 logger = logging.getLogger(__name__)
 
 #: Loads in flight at one engine; the store serves eight for the whole fleet.
-MAX_LOADS = 2
+MAX_CONCURRENT_LOADS = 2
 
 #: Weight of the newest load in the mean time of one.
-SMOOTHING = 0.1
+SMOOTHING_FACTOR = 0.1
 
 #: Seconds that a load takes while none has been measured.
-FIRST_GUESS = 0.25
+INITIAL_LOAD_SECONDS = 0.25
 
 
 class LoadAuthority(Protocol):
@@ -41,7 +41,7 @@
     def incarnation(self) -> Incarnation:
         """The fencing number of this agent's orders."""
 
-    def may_order(self) -> bool:
+    def has_authority(self) -> bool:
         """Whether this agent may still order its target about."""
 
     async def obtain_permit(self, urgency: float) -> int:
@@ -68,19 +68,19 @@
         changed: Callable[[], None],
         backoff: LoadBackoff,
     ) -> None:
-        self.doubtful = False
-        self.seconds_per_load = FIRST_GUESS
+        self.needs_reconciling = False
+        self.seconds_per_load = INITIAL_LOAD_SECONDS
         self._slots = slots
         self._client = client
         self._authority = authority
         self._clock = clock
         self._changed = changed
-        self._reuse = ReuseCounter()
+        self._reuse_counter = ReuseCounter()
         self._backoff = backoff
-        self._moved: set[AdapterKey] = set()
+        self._redirected: set[AdapterKey] = set()
         self._loads: dict[AdapterKey, asyncio.Task[None]] = {}
-        self._wishes = 0
-        self._waiting: Counter[AdapterKey] = Counter()
+        self._candidate_count = 0
+        self._queued_counts: Counter[AdapterKey] = Counter()
 
     def stop(self) -> None:
         """Abandon the loads in progress."""
@@ -89,41 +89,45 @@
 
     def observe_use(self, key: AdapterKey) -> None:
         """Count a request for an adapter."""
-        self._reuse.observe_use(key.digest, self._clock.monotonic())
+        self._reuse_counter.observe_use(key.digest, self._clock.monotonic())
 
-    def is_hopeless(self, key: AdapterKey) -> bool:
+    def should_redirect(self, key: AdapterKey) -> bool:
         """Whether loads fail here, so that its requests belong at another target."""
         now = self._clock.monotonic()
-        return key in self._moved and now < self._backoff.read(key.digest)
+        return key in self._redirected and now < self._backoff.read(key.digest)
 
     def start_loads(self, queued: list[Attempt]) -> None:
         """Begin the most urgent loads for what waits."""
         now = self._clock.monotonic()
-        self._waiting = Counter(a.adapter for a in queued if a.adapter is not None)
-        wishes = self._list_wishes(queued, now)
-        self._wishes = len(wishes)
-        if not self._authority.may_order():
+        self._queued_counts = Counter(
+            a.adapter for a in queued if a.adapter is not None
+        )
+        candidates = self._list_candidates(queued, now)
+        self._candidate_count = len(candidates)
+        if not self._authority.has_authority():
             return
-        while len(self._loads) < min(MAX_LOADS, self.count_room() + len(self._loads)):
-            wish = choose_load(list(wishes.values()), now)
-            if wish is None:
+        while len(self._loads) < min(
+            MAX_CONCURRENT_LOADS, self.count_available_slots() + len(self._loads)
+        ):
+            candidate = choose_load(list(candidates.values()), now)
+            if candidate is None:
                 return
-            key = next(key for key in wishes if wish.digest == key.digest)
-            del wishes[key]
+            key = next(key for key in candidates if candidate.digest == key.digest)
+            del candidates[key]
             source = next(a.dispatch.source for a in queued if a.adapter == key)
-            self._loads[key] = asyncio.create_task(self._load(key, source, wish))
+            self._loads[key] = asyncio.create_task(self._load(key, source, candidate))
 
-    def count_room(self) -> int:
+    def count_available_slots(self) -> int:
         """Return how many loads could begin, as slots are empty or unpinned."""
         held = sum(len(self._slots.list_keys(state)) for state in SlotState)
-        pending = sum(not self._slots.is_held(key) for key in self._loads)
+        pending = sum(not self._slots.has_slot(key) for key in self._loads)
         return self._slots.count - held + self._slots.count_unpinned() - pending
 
-    def count_wishes(self) -> int:
+    def count_pending_loads(self) -> int:
         """Return how many adapters are waited for and not on their way."""
-        return self._wishes
+        return self._candidate_count
 
-    def find_coldest(self) -> float:
+    def estimate_coldest_reuse(self) -> float:
         """Return the aged uses of what would leave next, 0 for an empty slot."""
         if self._slots.has_free_slot():
             return 0.0
@@ -131,13 +135,13 @@
         victim = choose_victim(self._list_views(now), now)
         return 0.0 if victim is None else expect_slot_reuse(victim, now)
 
-    def _list_wishes(
+    def _list_candidates(
         self, queued: list[Attempt], now: float
     ) -> dict[AdapterKey, LoadWish]:
         waiters: dict[AdapterKey, list[Attempt]] = {}
         for attempt in queued:
             key = attempt.adapter
-            if key is None or self._slots.is_held(key) or key in self._loads:
+            if key is None or self._slots.has_slot(key) or key in self._loads:
                 continue
             waiters.setdefault(key, []).append(attempt)
         return {
@@ -151,15 +155,17 @@
             for key, attempts in waiters.items()
         }
 
-    async def _load(self, key: AdapterKey, source: str, wish: LoadWish) -> None:
+    async def _load(self, key: AdapterKey, source: str, candidate: LoadWish) -> None:
         permit = None
-        began = self._clock.monotonic() - wish.oldest
+        started = self._clock.monotonic() - candidate.oldest
         try:
-            permit = await self._authority.obtain_permit(urgency(wish))
-            if await self._make_room():
-                await self._order_load(key, source)
-                took = self._clock.monotonic() - began
-                self.seconds_per_load += SMOOTHING * (took - self.seconds_per_load)
+            permit = await self._authority.obtain_permit(urgency(candidate))
+            if await self._free_slot():
+                await self._load_into_slot(key, source)
+                elapsed = self._clock.monotonic() - started
+                self.seconds_per_load += SMOOTHING_FACTOR * (
+                    elapsed - self.seconds_per_load
+                )
         except IbisheadError as error:
             logger.info(
                 "no load", extra={"adapter": key.adapter, "reason": error.message}
@@ -170,7 +176,7 @@
             self._loads.pop(key, None)
             self._changed()
 
-    async def _make_room(self) -> bool:
+    async def _free_slot(self) -> bool:
         if self._slots.has_free_slot():
             return True
         now = self._clock.monotonic()
@@ -191,13 +197,13 @@
             await self._client.unload(key, boot, self._authority.incarnation)
             unloaded = True
         except IbisheadError:
-            self.doubtful = True
+            self.needs_reconciling = True
             raise
         finally:
             self._slots.end_unload(key, boot, unloaded)
         return self._slots.has_free_slot()
 
-    async def _order_load(self, key: AdapterKey, source: str) -> None:
+    async def _load_into_slot(self, key: AdapterKey, source: str) -> None:
         boot = self._slots.boot
         self._slots.begin_load(key, self._clock.monotonic())
         self._changed()
@@ -207,10 +213,10 @@
             await self._client.load(key, source, boot, self._authority.incarnation)
             loaded = True
             self._backoff.observe_success(key.digest)
-            self._moved.discard(key)
+            self._redirected.discard(key)
         except IbisheadError as error:
-            self.doubtful = True
-            self._note_failure(key, error)
+            self.needs_reconciling = True
+            self._record_failure(key, error)
             raise
         finally:
             self._slots.end_load(key, boot, loaded)
@@ -218,16 +224,16 @@
     def _check_authority(self) -> None:
         # Between the decision and the order this process may have been frozen, and
         # another agent may serve the target now; checked with no await in between.
-        if not self._authority.may_order():
+        if not self._authority.has_authority():
             raise LinkLost(
                 "this agent's authority over its target is in doubt",
                 "none is needed, it is confirmed with the control quorum",
                 code=ErrorCode.STALE_INCARNATION,
             )
 
-    def _note_failure(self, key: AdapterKey, error: IbisheadError) -> None:
+    def _record_failure(self, key: AdapterKey, error: IbisheadError) -> None:
         if self._backoff.observe_failure(key.digest, self._clock.monotonic()):
-            self._moved.add(key)
+            self._redirected.add(key)
         logger.warning(
             "load failed",
             extra={
@@ -240,11 +246,11 @@
     def _list_views(self, now: float) -> list[SlotView]:
         return [
             SlotView(
-                digest=occupied.key.digest,
-                pins=occupied.pins,
-                last_used=occupied.last_used,
-                reuse=self._reuse.read(occupied.key.digest, now),
-                waiting=self._waiting[occupied.key],
+                digest=resident.key.digest,
+                pins=resident.pins,
+                last_used=resident.last_used,
+                reuse=self._reuse_counter.read(resident.key.digest, now),
+                waiting=self._queued_counts[resident.key],
             )
-            for occupied in self._slots.list_resident()
+            for resident in self._slots.list_resident()
         ]
--- a/src/ibishead/agent/main.py
+++ b/src/ibishead/agent/main.py
@@ -39,37 +39,38 @@
     server = LinkServer(
         lambda link: agent.serve(link), lambda: agent.greet(), clock, tls=tls
     )
-    taken = await server.start(settings.links.endpoint)
+    bound = await server.start(settings.links.endpoint)
     client = TargetClient(
         settings.target_endpoint, settings.kind is TargetKind.ENGINE, clock
     )
-    agent = Agent(settings, taken, client, clock)
+    agent = Agent(settings, bound, client, clock)
     await agent.start()
     pages = AgentPages(agent.scheduler, agent.registrar, agent.metrics)
     http_tls = make_server_context(settings.http_tls) if settings.http_tls else None
-    operators = WebServer(pages.handle, tls=http_tls)
-    write_port_file(settings.links, taken.port)
+    operator_server = WebServer(pages.handle, tls=http_tls)
+    write_port_file(settings.links, bound.port)
     write_port_file(
-        settings.operators, (await operators.start(settings.operators.endpoint)).port
+        settings.operators,
+        (await operator_server.start(settings.operators.endpoint)).port,
     )
-    logger.info("agent serves", extra={"address": str(taken)})
-    await _wait_for_end(agent.registrar)
+    logger.info("agent serves", extra={"address": str(bound)})
+    await _wait_for_stop(agent.registrar)
     logger.info("agent stops")
     await agent.finish()
     await server.stop()
     await agent.stop()
-    await operators.stop(grace=1.0)
+    await operator_server.stop(grace=1.0)
     if lock is not None:
         os.close(lock)
 
 
-async def _wait_for_end(registrar: ControlRegistrar) -> None:
-    ends = [
+async def _wait_for_stop(registrar: ControlRegistrar) -> None:
+    stop_tasks = [
         asyncio.create_task(wait_for_stop()),
         asyncio.create_task(registrar.superseded.wait()),
     ]
-    await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
-    for task in ends:
+    await asyncio.wait(stop_tasks, return_when=asyncio.FIRST_COMPLETED)
+    for task in stop_tasks:
         task.cancel()
 
 
--- a/src/ibishead/agent/reception.py
+++ b/src/ibishead/agent/reception.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from ibishead.agent.attempts import Attempt
-from ibishead.agent.gate import AttemptKey, GateState, Rejected, Repeated, Taken
+from ibishead.agent.gate import AttemptKey, GateState, Rejected, Duplicate, Admitted
 from ibishead.agent.scheduler import Scheduler
 from ibishead.agent.slots import AdapterKey
 from ibishead.clock import Clock
@@ -25,10 +25,10 @@
 __all__ = ["Reception"]
 
 #: Seconds between load reports while the load changes.
-REPORT_INTERVAL = 0.05
+REPORT_INTERVAL_SECONDS = 0.05
 
 #: Seconds between load reports while it doesn't.
-QUIET_REPORT_INTERVAL = 0.5
+IDLE_REPORT_INTERVAL_SECONDS = 0.5
 
 
 class Reception:
@@ -42,13 +42,13 @@
         self,
         scheduler: Scheduler,
         gate_state: Callable[[], GateState],
-        own: Callable[[Incarnation], bool],
+        is_own: Callable[[Incarnation], bool],
         clock: Clock,
     ) -> None:
         self._scheduler = scheduler
         self._gate = scheduler.gate
         self._gate_state = gate_state
-        self._own = own
+        self._is_own = is_own
         self._clock = clock
         self._links: set[Link] = set()
 
@@ -58,17 +58,17 @@
         link.send(self._scheduler.report())
         try:
             async for message in link.receive():
-                self._take(message, link)
+                self._handle(message, link)
         finally:
             self._links.discard(link)
-            self._scheduler.attempts.drop_watcher(link)
+            self._scheduler.attempts.remove_watcher(link)
 
-    async def report_for_ever(self) -> None:
+    async def report_load(self) -> None:
         """Send load reports to all links, soon after the load has changed."""
         changed = self._scheduler.changed
         while True:
             try:
-                async with asyncio.timeout(QUIET_REPORT_INTERVAL):
+                async with asyncio.timeout(IDLE_REPORT_INTERVAL_SECONDS):
                     await changed.wait()
             except TimeoutError:
                 pass
@@ -76,9 +76,9 @@
             report = self._scheduler.report()
             for link in list(self._links):
                 link.send(report)
-            await asyncio.sleep(REPORT_INTERVAL)
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
-    def _take(self, message: Message, link: Link) -> None:
+    def _handle(self, message: Message, link: Link) -> None:
         match message:
             case Dispatch():
                 self._dispatch(message, link)
@@ -95,18 +95,18 @@
 
     def _dispatch(self, dispatch: Dispatch, link: Link) -> None:
         match self._gate.check(dispatch, self._gate_state()):
-            case Taken():
+            case Admitted():
                 attempt = Attempt(
                     dispatch, self._clock.monotonic(), _find_key(dispatch)
                 )
                 attempt.watchers.add(link)
                 self._scheduler.submit(attempt)
-            case Repeated():
+            case Duplicate():
                 found = self._scheduler.attempts.find(
                     AttemptKey(dispatch.request, dispatch.attempt)
                 )
                 if found is not None and link not in found.watchers:
-                    found.watch(link, Sequence(0))
+                    found.add_watcher(link, Sequence(0))
             case Rejected() as rejected:
                 link.send(
                     NotRun(
@@ -123,8 +123,8 @@
         key = AttemptKey(resume.request, resume.attempt)
         found = self._scheduler.attempts.find(key)
         if found is not None:
-            found.watch(link, resume.next_sequence)
-        elif self._own(resume.incarnation) and self._gate.bury(key):
+            found.add_watcher(link, resume.next_sequence)
+        elif self._is_own(resume.incarnation) and self._gate.add_tombstone(key):
             # Nothing of the attempt has come and, once buried, nothing of it will
             # ever run here: this is the proof that lets it run elsewhere.
             link.send(
--- a/src/ibishead/agent/registrar.py
+++ b/src/ibishead/agent/registrar.py
@@ -29,16 +29,16 @@
 
 #: Seconds in which the quorum records an outcome before the caller is answered
 #: without it. Longer than an election, shorter than a caller's patience.
-RECORD_PATIENCE = 2.0
+RECORD_TIMEOUT_SECONDS = 2.0
 
 #: Tries to record an outcome; together they span a minute.
-RECORD_TRIES = 30
+MAX_RECORD_ATTEMPTS = 30
 
 #: Largest answer that is kept with a claim, in bytes.
-MAX_RECORDED_ANSWER = 16 * 1024
+MAX_RECORDED_ANSWER_BYTES = 16 * 1024
 
 #: Seconds that a permit may be waited for in one ask.
-PERMIT_TIMEOUT = 2.0
+PERMIT_TIMEOUT_SECONDS = 2.0
 
 
 class ControlRegistrar:
@@ -55,7 +55,7 @@
         self._announcement = announcement
         self._clock = clock
         self._incarnations: list[Incarnation] = []
-        self._permits = 0
+        self._last_permit = 0
         self._registering = asyncio.Lock()
         self._registration: asyncio.Task[None] | None = None
         self._background: set[asyncio.Task[None]] = set()
@@ -66,11 +66,11 @@
         """The current fencing number, 0 before the first registration."""
         return self._incarnations[-1] if self._incarnations else Incarnation(0)
 
-    def owned(self, incarnation: Incarnation) -> bool:
+    def is_own_incarnation(self, incarnation: Incarnation) -> bool:
         """Whether an incarnation was this process's own."""
         return incarnation in self._incarnations
 
-    def may_order(self) -> bool:
+    def has_authority(self) -> bool:
         """Whether this agent is registered and not superseded."""
         if not self._incarnations or self.superseded.is_set():
             return False
@@ -85,12 +85,12 @@
                 self._incarnations.append(answer.incarnation)
                 logger.info("registered", extra={"incarnation": answer.incarnation})
 
-    def attach(self) -> None:
+    def reattach(self) -> None:
         """Register again over a new link, which tells control who follows now."""
         if self._incarnations:
             self._begin_registration()
 
-    def review(self) -> None:
+    def check_catalog(self) -> None:
         """Compare the catalog with this agent's own standing.
 
         A newer incarnation means that another agent serves the target now; one that
@@ -120,18 +120,20 @@
         if self._is_registering():
             return
         self._registration = self._spawn(self.register())
-        self._registration.add_done_callback(lambda _: self.review())
+        self._registration.add_done_callback(lambda _: self.check_catalog())
 
     async def obtain_permit(self, urgency: float) -> int:
         """Return the number of a granted load.
 
         :raises Unavailable: none has come in time.
         """
-        self._permits += 1
-        number = self._permits
-        ask = AskPermit(self._announcement.target, self.incarnation, number, urgency)
+        self._last_permit += 1
+        number = self._last_permit
+        request = AskPermit(
+            self._announcement.target, self.incarnation, number, urgency
+        )
         try:
-            await self._subscription.ask_permit(ask, PERMIT_TIMEOUT)
+            await self._subscription.ask_permit(request, PERMIT_TIMEOUT_SECONDS)
         except BaseException:
             # A grant may be on its way; given back, it doesn't hold up others
             self.release_permit(number)
@@ -144,7 +146,7 @@
             ReleasePermit(self._announcement.target, self.incarnation, number)
         )
 
-    async def record_end(self, attempt: Attempt, outcome: Outcome) -> None:
+    async def record_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
         """Record how a claimed request ended, before its caller is told.
 
         When the quorum doesn't answer in time the caller is told all the same, and
@@ -154,13 +156,13 @@
             return
         task = self._spawn(self._record(_make_resolution(attempt, outcome)))
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(RECORD_PATIENCE):
+            async with asyncio.timeout(RECORD_TIMEOUT_SECONDS):
                 await asyncio.shield(task)
 
     async def _record(self, resolution: ResolveClaim) -> None:
-        for _ in range(RECORD_TRIES):
+        for _ in range(MAX_RECORD_ATTEMPTS):
             try:
-                await self._subscription.resolve(resolution, RECORD_PATIENCE)
+                await self._subscription.resolve(resolution, RECORD_TIMEOUT_SECONDS)
             except Unavailable:
                 continue
             return
@@ -185,7 +187,7 @@
     )
     frames = attempt.buffer.list_from(Sequence(0)) or []
     body = b"".join(f.data for f in frames if isinstance(f, AnswerBody))
-    if outcome is not Outcome.COMPLETED or len(body) > MAX_RECORDED_ANSWER:
+    if outcome is not Outcome.COMPLETED or len(body) > MAX_RECORDED_ANSWER_BYTES:
         return resolution
     match frames:
         case [AnswerHead() as head, *_]:
--- a/src/ibishead/agent/runner.py
+++ b/src/ibishead/agent/runner.py
@@ -21,10 +21,10 @@
 __all__ = ["RunEnd", "run_attempt"]
 
 #: Largest answer that is held back until it is whole and checked.
-MAX_WHOLE_ANSWER = 16 * 1024 * 1024
+MAX_BUFFERED_ANSWER_BYTES = 16 * 1024 * 1024
 
 #: Bytes in which the first event of a stream must come.
-MAX_FIRST_EVENT = 64 * 1024
+MAX_FIRST_EVENT_BYTES = 64 * 1024
 
 _MODEL_NOT_FOUND = 404
 _SERVER_ERROR = 500
@@ -39,7 +39,7 @@
     FAILED = "failed"
 
 
-class _Named(msgspec.Struct):
+class _ModelField(msgspec.Struct):
     model: str = ""
 
 
@@ -92,8 +92,8 @@
     waited: tuple[float, float],
     target: TargetId,
 ) -> RunEnd:
-    kind = find_header(answer.headers, "content-type") or ""
-    streamed = kind.startswith("text/event-stream")
+    content_type = find_header(answer.headers, "content-type") or ""
+    streamed = content_type.startswith("text/event-stream")
     if streamed:
         attempt.tail = StreamTail()
         first = await _read_first_event(answer)
@@ -103,7 +103,7 @@
         payload = first
     # The engine names the model that made the answer. An answer of another one
     # must not reach a caller who asked for this adapter and version.
-    if answer.status == 200 and not _names_adapter(attempt, payload):
+    if answer.status == 200 and not _matches_adapter(attempt, payload):
         return RunEnd.WRONG_MODEL
     attempt.emit_head(answer.status, drop_hop_by_hop(answer.headers), target, waited)
     attempt.emit_body(first)
@@ -115,7 +115,7 @@
 async def _relay_rest(attempt: Attempt, chunks: AsyncIterator[bytes]) -> None:
     async for chunk in chunks:
         attempt.emit_body(chunk)
-        await attempt.wait_for_room()
+        await attempt.wait_for_buffer_space()
 
 
 async def _read_first_event(answer: ClientAnswer) -> bytes:
@@ -124,7 +124,7 @@
         first += chunk
         if b"\n\n" in first:
             return first
-        if len(first) > MAX_FIRST_EVENT:
+        if len(first) > MAX_FIRST_EVENT_BYTES:
             break
     raise LinkLost(
         "the engine's stream began with no event",
@@ -139,20 +139,20 @@
     async for chunk in answer.chunks:
         pieces.append(chunk)
         size += len(chunk)
-        if size > MAX_WHOLE_ANSWER:
+        if size > MAX_BUFFERED_ANSWER_BYTES:
             raise LinkLost(
-                f"the engine's answer exceeds {MAX_WHOLE_ANSWER} bytes",
+                f"the engine's answer exceeds {MAX_BUFFERED_ANSWER_BYTES} bytes",
                 "ask for a stream",
                 code=ErrorCode.TARGET_FAILED,
             )
     return b"".join(pieces)
 
 
-def _names_adapter(attempt: Attempt, payload: bytes) -> bool:
+def _matches_adapter(attempt: Attempt, payload: bytes) -> bool:
     if attempt.adapter is None:
         return True
     try:
-        named = msgspec.json.decode(payload, type=_Named)
+        answer = msgspec.json.decode(payload, type=_ModelField)
     except msgspec.DecodeError:
         return False
-    return named.model == make_lora_name(attempt.adapter)
+    return answer.model == make_lora_name(attempt.adapter)
--- a/src/ibishead/agent/slots.py
+++ b/src/ibishead/agent/slots.py
@@ -24,7 +24,7 @@
 
 #: Samples in a row in which the engine must not show an adapter before a lingering
 #: pin on it ends. One could miss a request that still lies in the engine's socket.
-CLEAR_SAMPLES = 2
+RELEASE_SAMPLES = 2
 
 
 class SlotState(Enum):
@@ -52,13 +52,13 @@
 class _Slot:
     state: SlotState
     pins: int = 0
-    lingering: int = 0
-    clear_samples: int = 0
+    orphaned_pins: int = 0
+    absent_samples: int = 0
     last_used: float = 0.0
 
 
 @dataclass(frozen=True)
-class Occupied:
+class ResidentAdapter:
     """A resident adapter.
 
     :param pins: requests that run with it, or may.
@@ -112,7 +112,7 @@
         """
         self.boot = boot
         self._slots = {
-            key: _Slot(SlotState.RESIDENT, lingering=1, last_used=now)
+            key: _Slot(SlotState.RESIDENT, orphaned_pins=1, last_used=now)
             for key in resident
         }
 
@@ -144,7 +144,7 @@
         slot = self._slots.get(key)
         if slot is None or slot.state is not SlotState.RESIDENT:
             return False
-        if slot.pins or slot.lingering:
+        if slot.pins or slot.orphaned_pins:
             return False
         slot.state = SlotState.UNLOADING
         return True
@@ -180,29 +180,29 @@
         """
         pin.slot.pins -= 1
         if not ended:
-            pin.slot.lingering += 1
-            pin.slot.clear_samples = 0
+            pin.slot.orphaned_pins += 1
+            pin.slot.absent_samples = 0
 
     def observe_running(self, running: frozenset[AdapterKey]) -> None:
         """Take a sample of the adapters that the engine shows at work or waiting."""
         for key, slot in self._slots.items():
-            if not slot.lingering:
+            if not slot.orphaned_pins:
                 continue
-            slot.clear_samples = 0 if key in running else slot.clear_samples + 1
-            if slot.clear_samples >= CLEAR_SAMPLES:
-                slot.lingering = 0
+            slot.absent_samples = 0 if key in running else slot.absent_samples + 1
+            if slot.absent_samples >= RELEASE_SAMPLES:
+                slot.orphaned_pins = 0
 
     @property
-    def lingers(self) -> bool:
+    def has_orphaned_pins(self) -> bool:
         """Whether any pin waits for the engine to show that it is over."""
-        return any(slot.lingering for slot in self._slots.values())
+        return any(slot.orphaned_pins for slot in self._slots.values())
 
     def is_resident(self, key: AdapterKey) -> bool:
         """Whether requests can be pinned to the adapter."""
         slot = self._slots.get(key)
         return slot is not None and slot.state is SlotState.RESIDENT
 
-    def is_held(self, key: AdapterKey) -> bool:
+    def has_slot(self, key: AdapterKey) -> bool:
         """Whether the adapter has a slot, in whatever state."""
         return key in self._slots
 
@@ -213,7 +213,9 @@
     def count_unpinned(self) -> int:
         """Return how many resident adapters may be evicted."""
         return sum(
-            slot.state is SlotState.RESIDENT and not slot.pins and not slot.lingering
+            slot.state is SlotState.RESIDENT
+            and not slot.pins
+            and not slot.orphaned_pins
             for slot in self._slots.values()
         )
 
@@ -221,10 +223,10 @@
         """Return the adapters in a state."""
         return [key for key, slot in self._slots.items() if slot.state is state]
 
-    def list_resident(self) -> list[Occupied]:
+    def list_resident(self) -> list[ResidentAdapter]:
         """Return what an eviction has to choose from."""
         return [
-            Occupied(key, slot.pins + slot.lingering, slot.last_used)
+            ResidentAdapter(key, slot.pins + slot.orphaned_pins, slot.last_used)
             for key, slot in self._slots.items()
             if slot.state is SlotState.RESIDENT
         ]
--- a/src/ibishead/agent/streamtail.py
+++ b/src/ibishead/agent/streamtail.py
@@ -16,13 +16,13 @@
 DONE_EVENT = b"data: [DONE]\n\n"
 
 #: Bytes kept at least. An event that doesn't fit counts as unfinished.
-KEPT_BYTES = 64 * 1024
+RETAINED_BYTES = 64 * 1024
 
 _SEPARATOR = b"\n\n"
 _DATA = b"data:"
 
 #: Reasons that an engine gives for a generation that ran to its end.
-_FINISHED = frozenset(
+_FINISH_REASONS = frozenset(
     ("stop", "length", "content_filter", "tool_calls", "function_call")
 )
 
@@ -57,36 +57,41 @@
     """The end of what has come of one stream."""
 
     def __init__(self) -> None:
-        self._kept = bytearray()
+        self._tail = bytearray()
 
     def add(self, data: bytes) -> None:
         """Take in the next bytes."""
-        self._kept += data
-        if len(self._kept) > 2 * KEPT_BYTES:
-            del self._kept[:-KEPT_BYTES]
+        self._tail += data
+        if len(self._tail) > 2 * RETAINED_BYTES:
+            del self._tail[:-RETAINED_BYTES]
 
-    def judge(self, request: bytes) -> StreamEnd:
+    def classify(self, request: bytes) -> StreamEnd:
         """Return how far the stream has come.
 
         :param request: body of the request that it answers.
         """
-        *_, last, rest = (b"", *self._kept.split(_SEPARATOR))
-        if rest or not last.startswith(_DATA):
+        *_, last, remainder = (b"", *self._tail.split(_SEPARATOR))
+        if remainder or not last.startswith(_DATA):
             return StreamEnd.UNFINISHED
         if bytes(last) + _SEPARATOR == DONE_EVENT:
             return StreamEnd.DONE
         try:
             event = msgspec.json.decode(last[len(_DATA) :], type=_Event)
-            asked = msgspec.json.decode(request, type=_Request)
+            parameters = msgspec.json.decode(request, type=_Request)
         except msgspec.DecodeError:
             return StreamEnd.UNFINISHED
-        return StreamEnd.FINISHED if _is_last(event, asked) else StreamEnd.UNFINISHED
+        return (
+            StreamEnd.FINISHED if _is_last(event, parameters) else StreamEnd.UNFINISHED
+        )
 
 
-def _is_last(event: _Event, asked: _Request) -> bool:
-    if asked.stream_options is not None and asked.stream_options.include_usage:
+def _is_last(event: _Event, parameters: _Request) -> bool:
+    if (
+        parameters.stream_options is not None
+        and parameters.stream_options.include_usage
+    ):
         # Usage comes once all choices are finished
         return not event.choices and event.usage is not None
-    if asked.n not in (None, 1) or len(event.choices) != 1:
+    if parameters.n not in (None, 1) or len(event.choices) != 1:
         return False
-    return event.choices[0].finish_reason in _FINISHED
+    return event.choices[0].finish_reason in _FINISH_REASONS
--- a/src/ibishead/agent/target.py
+++ b/src/ibishead/agent/target.py
@@ -27,21 +27,21 @@
 logger = logging.getLogger(__name__)
 
 #: Seconds in which a target must answer a probe or an order's small questions.
-PROBE_TIMEOUT = 2.0
+PROBE_TIMEOUT_SECONDS = 2.0
 
 #: Seconds after which a load counts as failed. Eight at once take about 0.25 s each;
 #: an engine that is slower by two orders of magnitude has a fault.
-LOAD_TIMEOUT = 30.0
+LOAD_TIMEOUT_SECONDS = 30.0
 
 #: Seconds after which an order without an answer is looked up in the engine's list.
-LOAD_CHECK = 2.0
+LOAD_CHECK_INTERVAL_SECONDS = 2.0
 
 #: Connections kept open for further requests.
 MAX_IDLE_CONNECTIONS = 64
 
 #: Seconds for which a connection is kept unused. One that has gone silent shows it only
 #: to a request, which waits on it until its deadline.
-IDLE_LIMIT = 2.0
+IDLE_TIMEOUT_SECONDS = 2.0
 
 FENCING_HEADER = "x-fencing-token"
 
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class _Kept:
+class _IdleConnection:
     """A connection that waits for its next request.
 
     :param since: monotonic seconds of its last use.
@@ -98,11 +98,11 @@
     :param has_boot: the target shows its boot in ``/metrics``, as engines do.
     """
 
-    def __init__(self, endpoint: Endpoint, has_boot: bool, clock: Clock) -> None:
+    def __init__(self, endpoint: Endpoint, reports_boot: bool, clock: Clock) -> None:
         self._endpoint = endpoint
-        self._has_boot = has_boot
+        self._reports_boot = reports_boot
         self._clock = clock
-        self._idle: list[_Kept] = []
+        self._idle: list[_IdleConnection] = []
 
     @contextlib.asynccontextmanager
     async def borrow(
@@ -119,7 +119,7 @@
         """
         actual, connection = BootId(""), None
         if not fresh:
-            actual, connection = self._take_idle(boot)
+            actual, connection = self._pop_idle(boot)
         if connection is None:
             connection = await ClientConnection.open(self._endpoint)
             try:
@@ -136,7 +136,7 @@
         try:
             yield connection
         finally:
-            self._give_back(actual, connection)
+            self._release(actual, connection)
 
     async def sample(self) -> EngineSample:
         """Ask what the engine runs, over a new connection.
@@ -145,13 +145,15 @@
 
         :raises LinkLost: it can't be reached or doesn't answer.
         """
-        connection = await ClientConnection.open(self._endpoint, timeout=PROBE_TIMEOUT)
+        connection = await ClientConnection.open(
+            self._endpoint, timeout=PROBE_TIMEOUT_SECONDS
+        )
         try:
-            sample = await self._ask_sample(connection)
+            sample = await self._request_sample(connection)
         except BaseException:
             connection.close()
             raise
-        self._give_back(sample.boot, connection)
+        self._release(sample.boot, connection)
         return sample
 
     async def check_reachable(self) -> None:
@@ -159,7 +161,9 @@
 
         :raises LinkLost: nobody accepts connections there.
         """
-        connection = await ClientConnection.open(self._endpoint, timeout=PROBE_TIMEOUT)
+        connection = await ClientConnection.open(
+            self._endpoint, timeout=PROBE_TIMEOUT_SECONDS
+        )
         connection.close()
 
     async def list_adapters(self, boot: BootId) -> list[AdapterKey]:
@@ -167,7 +171,10 @@
 
         :raises TargetRestarted: it is in another boot.
         """
-        async with self.borrow(boot, True) as connection, _bound(PROBE_TIMEOUT):
+        async with (
+            self.borrow(boot, True) as connection,
+            _limit_time(PROBE_TIMEOUT_SECONDS),
+        ):
             answer = await connection.ask("GET", "/v1/models")
             body = await answer.read()
         try:
@@ -188,27 +195,34 @@
         :raises Unavailable: the engine refused or failed, or says that it loaded
             and doesn't list the adapter.
         """
-        order = msgspec.json.encode(
+        command = msgspec.json.encode(
             {"lora_name": make_lora_name(key), "lora_path": source}
         )
         # A kept connection may have gone silent, and a load may take long
-        async with self.borrow(boot, True) as connection, _bound(LOAD_TIMEOUT):
-            ordering = asyncio.create_task(
-                self._order(connection, "/v1/load_lora_adapter", order, incarnation)
+        async with (
+            self.borrow(boot, True) as connection,
+            _limit_time(LOAD_TIMEOUT_SECONDS),
+        ):
+            loading = asyncio.create_task(
+                self._post_command(
+                    connection, "/v1/load_lora_adapter", command, incarnation
+                )
             )
             try:
-                while not (await asyncio.wait((ordering,), timeout=LOAD_CHECK))[0]:
+                while not (
+                    await asyncio.wait((loading,), timeout=LOAD_CHECK_INTERVAL_SECONDS)
+                )[0]:
                     if await self._is_listed(key, boot):
                         # the connection went silent under the order
                         return
-                status, body = ordering.result()
+                status, body = loading.result()
             finally:
-                ordering.cancel()
+                loading.cancel()
         if status != 200:
-            raise _describe_failed_order(status, body)
+            raise _make_command_error(status, body)
         # A load that answers 200 has been seen to be wrong; the list is the proof
         if key not in await self.list_adapters(boot):
-            raise _describe_failed_order(status, b"loaded but not listed")
+            raise _make_command_error(status, b"loaded but not listed")
 
     async def unload(
         self, key: AdapterKey, boot: BootId, incarnation: Incarnation
@@ -217,32 +231,35 @@
 
         :raises Unavailable: the engine refused.
         """
-        order = msgspec.json.encode({"lora_name": make_lora_name(key)})
-        async with self.borrow(boot, True) as connection, _bound(LOAD_TIMEOUT):
-            status, body = await self._order(
-                connection, "/v1/unload_lora_adapter", order, incarnation
+        command = msgspec.json.encode({"lora_name": make_lora_name(key)})
+        async with (
+            self.borrow(boot, True) as connection,
+            _limit_time(LOAD_TIMEOUT_SECONDS),
+        ):
+            status, body = await self._post_command(
+                connection, "/v1/unload_lora_adapter", command, incarnation
             )
         if status not in (200, 404):
-            raise _describe_failed_order(status, body)
+            raise _make_command_error(status, body)
 
     def close(self) -> None:
         """Drop all kept connections."""
-        for kept in self._idle:
-            kept.connection.close()
+        for entry in self._idle:
+            entry.connection.close()
         self._idle.clear()
 
-    async def _order(
+    async def _post_command(
         self,
         connection: ClientConnection,
         path: str,
-        order: bytes,
+        command: bytes,
         incarnation: Incarnation,
     ) -> tuple[int, bytes]:
         headers: Headers = (
             ("content-type", "application/json"),
             (FENCING_HEADER, str(incarnation)),
         )
-        answer = await connection.ask("POST", path, headers, order)
+        answer = await connection.ask("POST", path, headers, command)
         return answer.status, await answer.read()
 
     async def _is_listed(self, key: AdapterKey, boot: BootId) -> bool:
@@ -253,35 +270,37 @@
             return False
 
     async def _read_boot(self, connection: ClientConnection) -> BootId:
-        if not self._has_boot:
+        if not self._reports_boot:
             return BootId("")
-        return (await self._ask_sample(connection)).boot
+        return (await self._request_sample(connection)).boot
 
-    async def _ask_sample(self, connection: ClientConnection) -> EngineSample:
-        async with _bound(PROBE_TIMEOUT):
+    async def _request_sample(self, connection: ClientConnection) -> EngineSample:
+        async with _limit_time(PROBE_TIMEOUT_SECONDS):
             answer = await connection.ask("GET", "/metrics")
             return _parse_sample(await answer.read())
 
-    def _take_idle(self, boot: BootId | None) -> tuple[BootId, ClientConnection | None]:
-        oldest = self._clock.monotonic() - IDLE_LIMIT
+    def _pop_idle(self, boot: BootId | None) -> tuple[BootId, ClientConnection | None]:
+        earliest = self._clock.monotonic() - IDLE_TIMEOUT_SECONDS
         while self._idle:
-            kept = self._idle.pop()
-            usable = not kept.connection.closed and kept.since >= oldest
-            if usable and (boot is None or kept.boot == boot):
-                return kept.boot, kept.connection
-            kept.connection.close()
+            entry = self._idle.pop()
+            usable = not entry.connection.closed and entry.since >= earliest
+            if usable and (boot is None or entry.boot == boot):
+                return entry.boot, entry.connection
+            entry.connection.close()
         return BootId(""), None
 
-    def _give_back(self, boot: BootId, connection: ClientConnection) -> None:
+    def _release(self, boot: BootId, connection: ClientConnection) -> None:
         reusable = connection.idle and not connection.closed
         if reusable and len(self._idle) < MAX_IDLE_CONNECTIONS:
-            self._idle.append(_Kept(boot, connection, self._clock.monotonic()))
+            self._idle.append(
+                _IdleConnection(boot, connection, self._clock.monotonic())
+            )
         else:
             connection.close()
 
 
 @contextlib.asynccontextmanager
-async def _bound(seconds: float) -> AsyncIterator[None]:
+async def _limit_time(seconds: float) -> AsyncIterator[None]:
     try:
         async with asyncio.timeout(seconds):
             yield
@@ -318,7 +337,7 @@
     return int(float(found.group(1))) if found else 0
 
 
-def _describe_failed_order(status: int, body: bytes) -> Unavailable:
+def _make_command_error(status: int, body: bytes) -> Unavailable:
     reason = body[:200].decode("utf-8", "replace")
     return Unavailable(
         f"the engine answered {status} to an order: {reason}",
--- a/src/ibishead/agent/watcher.py
+++ b/src/ibishead/agent/watcher.py
@@ -15,10 +15,10 @@
 logger = logging.getLogger(__name__)
 
 #: Seconds between looks at a healthy target with nothing in doubt.
-QUIET_INTERVAL = 0.5
+HEALTHY_PROBE_INTERVAL_SECONDS = 0.5
 
 #: Seconds between looks while something is in doubt.
-BUSY_INTERVAL = 0.1
+FAST_PROBE_INTERVAL_SECONDS = 0.1
 
 
 class TargetWatcher:
@@ -39,7 +39,7 @@
         is_engine: bool,
         clock: Clock,
         changed: Callable[[], None],
-        review_runs: Callable[[frozenset[AdapterKey]], None],
+        check_runs: Callable[[frozenset[AdapterKey]], None],
     ) -> None:
         self.healthy = False
         self._client = client
@@ -48,34 +48,42 @@
         self._is_engine = is_engine
         self._clock = clock
         self._changed = changed
-        self._review_runs = review_runs
-        self._seen = clock.monotonic()
+        self._check_runs = check_runs
+        self._last_seen = clock.monotonic()
 
-    async def watch_for_ever(self) -> None:
+    async def watch(self) -> None:
         """Keep `healthy` and the slot table true to what the target shows."""
         while True:
             try:
-                await self._look()
-                self._seen = self._clock.monotonic()
+                await self._probe()
+                self._last_seen = self._clock.monotonic()
                 self._set_health(True)
             except LinkLost as error:
                 logger.debug("target not seen", extra={"reason": error.message})
                 self._set_health(False)
-            doubt = self._slots.lingers or self._loader.doubtful or not self.healthy
-            await asyncio.sleep(BUSY_INTERVAL if doubt else QUIET_INTERVAL)
+            uncertain = (
+                self._slots.has_orphaned_pins
+                or self._loader.needs_reconciling
+                or not self.healthy
+            )
+            await asyncio.sleep(
+                FAST_PROBE_INTERVAL_SECONDS
+                if uncertain
+                else HEALTHY_PROBE_INTERVAL_SECONDS
+            )
 
-    def suspect(self) -> None:
+    def mark_unhealthy(self) -> None:
         """Take the target for unhealthy until it is seen again."""
         self._set_health(False)
 
-    def measure_absence(self) -> float:
+    def measure_downtime(self) -> float:
         """Return the seconds since the target was last seen, 0 while it is healthy."""
-        return 0.0 if self.healthy else self._clock.monotonic() - self._seen
+        return 0.0 if self.healthy else self._clock.monotonic() - self._last_seen
 
-    async def _look(self) -> None:
+    async def _probe(self) -> None:
         if not self._is_engine:
             await self._client.check_reachable()
-            self._review_runs(frozenset())
+            self._check_runs(frozenset())
             return
         sample = await self._client.sample()
         if sample.boot != self._slots.boot:
@@ -85,9 +93,9 @@
             self._slots.begin_boot(sample.boot, resident, self._clock.monotonic())
             return
         self._slots.observe_running(sample.busy)
-        self._review_runs(sample.busy)
-        if self._loader.doubtful:
-            self._loader.doubtful = False
+        self._check_runs(sample.busy)
+        if self._loader.needs_reconciling:
+            self._loader.needs_reconciling = False
             resident = await self._client.list_adapters(sample.boot)
             self._slots.reconcile(resident, self._clock.monotonic())
 
--- a/tests/agent/test_gate.py
+++ b/tests/agent/test_gate.py
@@ -3,7 +3,14 @@
 import msgspec
 import pytest
 
-from ibishead.agent.gate import AttemptKey, Gate, GateState, Rejected, Repeated, Taken
+from ibishead.agent.gate import (
+    AttemptKey,
+    Gate,
+    GateState,
+    Rejected,
+    Duplicate,
+    Admitted,
+)
 from ibishead.documents import Unconfirmed
 from ibishead.errors import ErrorCode
 from ibishead.ids import (
@@ -77,7 +84,7 @@
     dispatch = msgspec.structs.replace(DISPATCH, **changes)
     verdict = Gate().check(dispatch, make_state(**state))
     if code is None:
-        assert verdict == Taken()
+        assert verdict == Admitted()
     else:
         assert isinstance(verdict, Rejected)
         assert verdict.code is code
@@ -93,14 +100,14 @@
 def test_attempt_runs_once_however_often_it_is_dispatched():
     """A link resends a dispatch that had arrived; a second run would be a double."""
     gate = Gate()
-    assert gate.check(DISPATCH, make_state()) == Taken()
-    assert gate.check(DISPATCH, make_state()) == Repeated()
+    assert gate.check(DISPATCH, make_state()) == Admitted()
+    assert gate.check(DISPATCH, make_state()) == Duplicate()
 
 
 def test_buried_attempt_never_runs():
     """An entry host freezes with a dispatch in its buffer."""
     gate = Gate()
-    assert gate.bury(KEY)
+    assert gate.add_tombstone(KEY)
     verdict = gate.check(DISPATCH, make_state())
     assert isinstance(verdict, Rejected)
     assert verdict.code is ErrorCode.NEVER_RECEIVED
@@ -109,16 +116,16 @@
 def test_taken_attempt_cant_be_buried_but_given_up():
     gate = Gate()
     gate.check(DISPATCH, make_state())
-    assert not gate.bury(KEY)
-    gate.give_up(KEY)
-    assert gate.bury(KEY)
+    assert not gate.add_tombstone(KEY)
+    gate.revoke_admission(KEY)
+    assert gate.add_tombstone(KEY)
 
 
 def test_memory_of_attempts_is_bounded():
-    gate = Gate(remembered=2)
+    gate = Gate(capacity=2)
     for number in range(5):
         gate.check(msgspec.structs.replace(DISPATCH, attempt=number), make_state())
     assert (
         gate.check(msgspec.structs.replace(DISPATCH, attempt=4), make_state())
-        == Repeated()
+        == Duplicate()
     )
--- a/tests/agent/test_slots.py
+++ b/tests/agent/test_slots.py
@@ -113,7 +113,7 @@
 
     @rule(key=st.sampled_from(KEYS))
     def load(self, key):
-        if self.table.has_free_slot() and not self.table.is_held(key):
+        if self.table.has_free_slot() and not self.table.has_slot(key):
             load(self.table, key)
 
     @rule(target=pins, key=st.sampled_from(KEYS))
--- a/tests/agent/test_streamtail.py
+++ b/tests/agent/test_streamtail.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ibishead.agent.streamtail import DONE_EVENT, KEPT_BYTES, StreamEnd, StreamTail
+from ibishead.agent.streamtail import DONE_EVENT, RETAINED_BYTES, StreamEnd, StreamTail
 
 OPEN = b'data: {"choices":[{"index":0,"delta":{"content":"a"},"finish_reason":null}]}'
 LAST = OPEN.replace(b"null", b'"stop"')
@@ -37,11 +37,11 @@
         ([b"data: no json\n\n"], b"{}", StreamEnd.UNFINISHED),
         ([b": a comment\n\n"], b"{}", StreamEnd.UNFINISHED),
         ([OPEN + b"\n\n"] * 2000 + [LAST, b"\n\n"], b"{}", StreamEnd.FINISHED),
-        ([b"data: " + b"x" * 3 * KEPT_BYTES, b"\n\n"], b"{}", StreamEnd.UNFINISHED),
+        ([b"data: " + b"x" * 3 * RETAINED_BYTES, b"\n\n"], b"{}", StreamEnd.UNFINISHED),
     ],
 )
 def test_stream_is_whole_once_it_says_why_it_finished(pieces, request_body, expected):
     tail = StreamTail()
     for piece in pieces:
         tail.add(piece)
-    assert tail.judge(request_body) is expected
+    assert tail.classify(request_body) is expected
--- a/tests/agent/test_target.py
+++ b/tests/agent/test_target.py
@@ -7,7 +7,7 @@
 
 from ibishead.agent import target as target_module
 from ibishead.agent.slots import AdapterKey, make_lora_name
-from ibishead.agent.target import IDLE_LIMIT, TargetClient
+from ibishead.agent.target import IDLE_TIMEOUT_SECONDS, TargetClient
 from ibishead.clock import ManualClock, SystemClock
 from ibishead.errors import Unavailable
 from ibishead.ids import AdapterName, BootId, Incarnation, Version
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def quick_check(monkeypatch):
-    monkeypatch.setattr(target_module, "LOAD_CHECK", 0.05)
+    monkeypatch.setattr(target_module, "LOAD_CHECK_INTERVAL_SECONDS", 0.05)
 
 
 @pytest.mark.parametrize(
@@ -80,7 +80,8 @@
 
 
 @pytest.mark.parametrize(
-    ("idle", "kept"), [(IDLE_LIMIT / 2, True), (IDLE_LIMIT * 2, False)]
+    ("idle", "kept"),
+    [(IDLE_TIMEOUT_SECONDS / 2, True), (IDLE_TIMEOUT_SECONDS * 2, False)],
 )
 async def test_a_connection_is_not_kept_unused_for_long(idle, kept):
     """Guards against requests that wait on a silent connection until their deadline."""
