--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -80,7 +80,7 @@
         "return stream_idle or attempt",
         (
             "tests/proofs/test_lost_answers.py"
-            "::test_runs_without_answers_leave_their_places_in_the_batch",
+            "::test_runs_without_answers_release_their_batch_places",
         ),
     ),
     Guard(
@@ -198,21 +198,21 @@
         "agent/slots.py",
         "        if not ended:\n",
         "        if False:\n",
-        (f"{SLOTS}::test_caller_that_left_doesnt_free_the_adapter",),
+        (f"{SLOTS}::test_disconnected_caller_doesnt_release_the_adapter",),
     ),
     Guard(
         "one sample doesn't end a lingering pin",
         "agent/slots.py",
         "RELEASE_SAMPLES = 2",
         "RELEASE_SAMPLES = 1",
-        (f"{SLOTS}::test_caller_that_left_doesnt_free_the_adapter",),
+        (f"{SLOTS}::test_disconnected_caller_doesnt_release_the_adapter",),
     ),
     Guard(
         "a restarted agent pins what it finds",
         "agent/slots.py",
         "_Slot(SlotState.RESIDENT, orphaned_pins=1, last_used=now)",
         "_Slot(SlotState.RESIDENT, last_used=now)",
-        (f"{SLOTS}::test_restarted_agent_pins_what_the_engine_holds",),
+        (f"{SLOTS}::test_restarted_agent_pins_resident_adapters",),
     ),
     Guard(
         "a load of a former boot counts for nothing",
@@ -221,21 +221,21 @@
         "            return\n        if loaded:",
         "slot = self._slots.setdefault(key, _Slot(SlotState.LOADING))\n"
         "        if loaded:",
-        (f"{SLOTS}::test_engine_that_restarted_voids_the_table",),
+        (f"{SLOTS}::test_load_of_an_earlier_boot_is_ignored",),
     ),
     Guard(
         "an answer names the adapter that was asked for",
         "agent/runner.py",
         "if answer.status == 200 and not _matches_adapter(attempt, payload):",
         "if False:",
-        ("tests/agent/test_runner.py::test_answer_of_another_model_is_held_back",),
+        ("tests/agent/test_runner.py::test_answer_of_another_model_is_not_delivered",),
     ),
     Guard(
         "an attempt that was given up never runs",
         "agent/gate.py",
         "if admitted is False:",
         "if False:",
-        (f"{GATE}::test_buried_attempt_never_runs",),
+        (f"{GATE}::test_attempt_with_a_tombstone_never_runs",),
     ),
     Guard(
         "a repeated dispatch is not run again",
@@ -264,7 +264,7 @@
         "if document is not None and dispatch.revision < document.revision:",
         "if False and document is not None:",
         (
-            f"{GATE}::test_stale_entry_is_handed_the_newer_document",
+            f"{GATE}::test_stale_entry_gets_the_newer_document",
             f"{PROMISES}::test_change_reaches_every_host_and_holds",
         ),
     ),
--- a/src/ibishead/agent/__main__.py
+++ b/src/ibishead/agent/__main__.py
@@ -1,4 +1,4 @@
-"""Run the program with ``python -m ibishead.agent``."""
+"""Entry point for ``python -m ibishead.agent``."""
 
 from ibishead.agent.main import main
 
--- a/src/ibishead/agent/agent.py
+++ b/src/ibishead/agent/agent.py
@@ -1,4 +1,4 @@
-"""One agent: its parts wired to one another, apart from listening sockets."""
+"""Composition of one agent from its parts, apart from its listening sockets."""
 
 import asyncio
 import contextlib
@@ -21,15 +21,18 @@
 __all__ = ["Agent"]
 
 
-#: Seconds for which an agent that leaves stays linked, at least, so that entry hosts
-#: hear of it first.
+#: Minimum seconds for which a draining agent keeps its links open, so that entry hosts
+#: receive the load report that announces the drain before the links close.
 MIN_DRAIN_SECONDS = 1.0
 
 
 class Agent:
-    """The only client of one target.
+    """The only client of one target; entry hosts reach it over links.
 
-    :param endpoint: where entry hosts reach this agent.
+    :param settings: settings of the agent program.
+    :param endpoint: address at which entry hosts reach this agent.
+    :param client: HTTP client of the target.
+    :param dialer: function that opens links to the control replicas.
     """
 
     def __init__(
@@ -75,26 +78,26 @@
         self._report_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to run work, and return once the target is registered."""
+        """Start running requests; return once the target is registered."""
         self._subscription.start()
         self.scheduler.start()
         await self.registrar.register()
         self._report_task = asyncio.create_task(self._reception.report_load())
 
     async def serve(self, link: Link) -> None:
-        """Serve an entry host's link until it is over."""
+        """Serve the link of one entry host until the link closes."""
         await self._reception.serve(link)
 
     async def finish(self) -> None:
-        """Take nothing new, and return once all that was taken is delivered."""
+        """Refuse new requests; return once all admitted attempts are delivered."""
         self.scheduler.begin_drain()
-        # What is on its way here is refused as not run. With the links closed nobody
-        # could tell what became of it.
+        # Dispatches in transit are refused as not run. If the links were closed first,
+        # their outcome would be unknown to the entry hosts.
         await asyncio.sleep(MIN_DRAIN_SECONDS)
         await self.scheduler.finish()
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without waiting for running attempts."""
         if self._report_task is not None:
             self._report_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -103,11 +106,11 @@
         await self._subscription.stop()
 
     def greet(self) -> Hello:
-        """Return what this agent says of itself on each link."""
+        """Return the hello message that this agent sends on each link."""
         return Hello(Role.AGENT, self._settings.host, self.registrar.incarnation)
 
     def read_gate_state(self) -> GateState:
-        """Return what the gate must know at this moment."""
+        """Return the state by which the gate decides at this moment."""
         catalog = self._subscription.catalog
         held = catalog.find_document(self._settings.service)
         return GateState(
--- a/src/ibishead/agent/attempts.py
+++ b/src/ibishead/agent/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts that an agent has taken in, and the frames that it owes for them.
+"""Attempts admitted by an agent, and the answer frames buffered for them.
 
-An attempt outlives the links it is watched over: its frames stay until the entry
-host has acknowledged them, or until nobody has asked for them for a while.
+An attempt outlives the links on which its answer is sent. Its frames are retained until
+the entry host has acknowledged them or the retention period has passed.
 """
 
 import asyncio
@@ -27,13 +27,14 @@
 
 __all__ = ["Attempt", "AttemptState", "AttemptTable"]
 
-#: Seconds that frames nobody watches are kept. An entry host that lost its link is
-#: back within a second or two; one that died leaves its caller to ask elsewhere.
+#: Seconds after its end for which an attempt's frames are retained, unless delivery has
+#: released them earlier. An entry host that lost its link reconnects within a second or
+#: two; the callers of an entry host that died retry through another one.
 RETENTION_SECONDS = 60.0
 
 
 class AttemptState(Enum):
-    """How far an attempt has come."""
+    """Stage of an attempt."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -42,17 +43,30 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """One attempt and its answer so far.
-
-    :param arrived: monotonic seconds, as are all moments here.
-    :param adapter: none for a plain service.
-    :param shown: frames owed when the target was last looked at.
-    :param quiet_since: when the run last brought a frame, or began.
-    :param absences: looks in a row at which the target showed nothing of the run.
-    :param silent: the run was given up because its connection has gone silent.
+    """One attempt and the part of its answer produced so far.
+
+    All points in time are in monotonic seconds.
+
+    :param dispatch: message that requested the attempt.
+    :param arrived: time at which the dispatch arrived.
+    :param adapter: adapter that the attempt needs, none for a plain service.
+    :param watchers: links to which the frames are sent.
+    :param buffer_space: event set when the frame buffer accepts more data.
+    :param refusal: the answer, where the attempt was refused without being run.
+    :param ready_at: time at which its adapter was first seen resident.
+    :param started: time at which the run began.
+    :param frames_seen: number of frames at the last probe of the target.
+    :param last_progress: time of the probe that last found a new frame, or the start of
+        the run.
+    :param absent_samples: consecutive probes in which the target showed no run with the
+        adapter.
+    :param unresponsive: the run was cancelled because its connection to the target
+        delivered no data without being closed.
+    :param ended: time at which the attempt ended.
     :param sent: the request's bytes may have reached the target.
-    :param requeued: how often the target turned out to be empty.
-    :param tail: the end of a model's stream, none for any other answer.
+    :param requeue_count: number of times that the attempt was queued again because the
+        target did not hold the adapter or had restarted.
+    :param tail: end of a model's event stream, none for any other answer.
     """
 
     dispatch: Dispatch
@@ -78,12 +92,12 @@
 
     @property
     def key(self) -> AttemptKey:
-        """The name of this attempt."""
+        """Key of this attempt."""
         return AttemptKey(self.dispatch.request, self.dispatch.attempt)
 
     @property
     def deadline(self) -> float:
-        """When the answer becomes worthless."""
+        """Monotonic time after which the answer is of no use to the caller."""
         return self.arrived + self.dispatch.deadline
 
     def emit_head(
@@ -93,9 +107,9 @@
         target: TargetId,
         waited: tuple[float, float],
     ) -> None:
-        """Owe the first frame.
+        """Buffer and send the head frame of the answer.
 
-        :param waited: seconds in the queue, and seconds for the adapter.
+        :param waited: seconds in the queue, and seconds until the adapter was resident.
         """
         adapter, version = self.dispatch.adapter, self.dispatch.version
         queued, stall = waited
@@ -115,7 +129,7 @@
         )
 
     def emit_body(self, data: bytes) -> None:
-        """Owe a piece of the body."""
+        """Buffer and send a piece of the answer's body."""
         if self.tail is not None:
             self.tail.add(data)
         self._emit(
@@ -128,9 +142,11 @@
         )
 
     def finish_stream(self) -> bool:
-        """Owe what a stream lacks whose connection is lost, if its text is whole.
+        """Complete a stream whose connection was lost, if its generation had finished.
 
-        :returns: whether the answer is whole.
+        Emits the terminating event where only that event is missing.
+
+        :returns: whether the answer is complete.
         """
         if self.tail is None:
             return False
@@ -146,7 +162,7 @@
         code: ErrorCode | None = None,
         reason: str = "",
     ) -> None:
-        """Owe the last frame."""
+        """Mark the attempt as ended; buffer and send the last frame."""
         self.state = AttemptState.ENDED
         self.ended = now
         self._emit(
@@ -161,9 +177,9 @@
         )
 
     def refuse(self, code: ErrorCode, reason: str, now: float, wait: float) -> None:
-        """End an attempt that hasn't been given to the target.
+        """End an attempt that has not run at the target.
 
-        :param wait: seconds after which the caller may come back.
+        :param wait: seconds after which the caller may retry.
         """
         self.state = AttemptState.ENDED
         self.ended = now
@@ -174,7 +190,10 @@
             link.send(self.refusal)
 
     def add_watcher(self, link: Link, next_sequence: Sequence) -> None:
-        """Send what is owed from a sequence on, and all that follows, to a link."""
+        """Send the buffered frames to a link, and all further frames as they come.
+
+        :param next_sequence: first frame to send.
+        """
         self.watchers.add(link)
         if self.refusal is not None:
             link.send(self.refusal)
@@ -187,16 +206,16 @@
 
     @property
     def is_acknowledged(self) -> bool:
-        """Whether a watcher has the whole answer."""
+        """Whether the answer was received; a refusal needs no acknowledgement."""
         if self.refusal is not None:
             return True
         return self.buffer.ended and self._acknowledged >= self.buffer.next_sequence
 
     def acknowledge(self, next_sequence: Sequence) -> None:
-        """Forget frames that have arrived.
+        """Discard the frames before a sequence number, which have been received.
 
-        A non-idempotent request's frames stay while they are few, for a caller who
-        asks again through another entry host.
+        The frames of a non-idempotent request are retained as long as the buffer is not
+        full, for a caller who retries through another entry host.
         """
         self._acknowledged = max(self._acknowledged, next_sequence)
         if self.dispatch.idempotent or self.buffer.full:
@@ -205,13 +224,13 @@
             self.buffer_space.set()
 
     async def wait_for_buffer_space(self) -> None:
-        """Pause the target while the caller reads more slowly than it writes."""
+        """Wait while the buffer is full, so that a slow caller slows the target."""
         while self.buffer.full:
             self.buffer_space.clear()
             await self.buffer_space.wait()
 
     def is_expired(self, now: float) -> bool:
-        """Whether nobody can ask for the frames any more."""
+        """Whether the frames can no longer be requested."""
         if self.state is not AttemptState.ENDED:
             return False
         delivered = self.buffer.delivered or self.refusal is not None
@@ -231,35 +250,35 @@
             next_sequence,
             Outcome.UNKNOWN,
             ErrorCode.OUTCOME_UNKNOWN,
-            "the answer was delivered before and is no longer kept",
+            "the answer was delivered before and its frames have been discarded",
         )
 
 
 class AttemptTable:
-    """All attempts that may still be asked for."""
+    """Attempts whose frames may still be requested."""
 
     def __init__(self) -> None:
         self._attempts: dict[AttemptKey, Attempt] = {}
 
     def add(self, attempt: Attempt) -> None:
-        """Keep an attempt."""
+        """Add an attempt."""
         self._attempts[attempt.key] = attempt
 
     def find(self, key: AttemptKey) -> Attempt | None:
-        """Return an attempt, or none."""
+        """Return the attempt with this key, or none."""
         return self._attempts.get(key)
 
     def list_in(self, *states: AttemptState) -> list[Attempt]:
-        """Return the attempts in some states, oldest first."""
+        """Return the attempts in any of these states, oldest first."""
         return [a for a in self._attempts.values() if a.state in states]
 
     def remove_watcher(self, link: Link) -> None:
-        """Forget a link that is over; its attempts go on."""
+        """Detach a closed link from all attempts, which continue to run."""
         for attempt in self._attempts.values():
             attempt.watchers.discard(link)
 
     def remove_expired(self, now: float) -> list[Attempt]:
-        """Drop what nobody can ask for any more, and return it."""
+        """Remove and return the attempts whose frames can no longer be requested."""
         expired = [a for a in self._attempts.values() if a.is_expired(now)]
         for attempt in expired:
             del self._attempts[attempt.key]
--- a/src/ibishead/agent/gate.py
+++ b/src/ibishead/agent/gate.py
@@ -1,8 +1,8 @@
-"""What an agent takes in: the last check before a request may reach its target.
+"""Admission control: the last check before a request may be sent to the target.
 
-Entry hosts act on views that can be late. Whatever they believe, the agent refuses
-what isn't for its incarnation, what a newer document has overtaken, what it has
-seen before, and all new work once it is leaving.
+Entry hosts decide on state that may be out of date. The agent therefore refuses
+dispatches for another incarnation, dispatches decided by an outdated document, attempts
+that are already known, and all new work while it drains.
 """
 
 from collections import OrderedDict
@@ -13,20 +13,20 @@
 from ibishead.ids import Incarnation, RequestId
 from ibishead.messages import Dispatch, DocumentRecord
 
-__all__ = ["AttemptKey", "Gate", "GateState", "Repeated", "Rejected", "Taken"]
+__all__ = ["Admitted", "AttemptKey", "Duplicate", "Gate", "GateState", "Rejected"]
 
-#: Attempts whose end is remembered. At ten requests a second this spans more than
-#: an hour, far beyond the life of any link or deadline.
+#: Number of attempts whose decision is recorded. At ten requests per second this covers
+#: more than an hour, far longer than any link or deadline lasts.
 MAX_RECORDED_ATTEMPTS = 50_000
 
-#: Seconds after which a caller refused for want of a lease may come back: about the
-#: time of an election.
+#: Seconds after which a caller refused for lack of a valid lease may retry: about the
+#: duration of an election.
 NO_LEASE_RETRY_AFTER_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class AttemptKey:
-    """Names one attempt of one request."""
+    """Identifies one attempt of one request."""
 
     request: RequestId
     attempt: int
@@ -34,10 +34,14 @@
 
 @dataclass(frozen=True)
 class GateState:
-    """What the agent knows at this moment.
-
-    :param document: the newest document of the target's service, or none.
-    :param current: a live lease vouches for that document.
+    """State of the agent by which dispatches are decided.
+
+    :param incarnation: current fencing number of the agent.
+    :param draining: no new attempts are admitted.
+    :param document: latest document of the target's service, or none.
+    :param current: the document is covered by a valid lease.
+    :param unconfirmed: what the service's document asks for when neither the entry host
+        nor the agent has a valid lease.
     """
 
     incarnation: Incarnation
@@ -54,14 +58,15 @@
 
 @dataclass(frozen=True)
 class Duplicate:
-    """The attempt is known; its frames, not another run, are the answer."""
+    """The attempt is already known; its frames are the answer, not another run."""
 
 
 @dataclass(frozen=True)
 class Rejected:
-    """The attempt did not run and never will.
+    """The attempt has not run and never will.
 
-    :param document: handed back to an entry host whose own is older.
+    :param retry_after: seconds after which the caller may retry.
+    :param document: latest document, sent to an entry host that used an older one.
     """
 
     code: ErrorCode
@@ -71,7 +76,10 @@
 
 
 class Gate:
-    """Remembers attempts and decides on each dispatch."""
+    """Decides on each dispatch and records the decision for each attempt.
+
+    :param capacity: maximum number of recorded attempts; the oldest are discarded.
+    """
 
     def __init__(self, capacity: int = MAX_RECORDED_ATTEMPTS) -> None:
         self._admissions: OrderedDict[AttemptKey, bool] = OrderedDict()
@@ -80,13 +88,16 @@
     def check(
         self, dispatch: Dispatch, state: GateState
     ) -> Admitted | Duplicate | Rejected:
-        """Decide on a dispatch, and remember it."""
+        """Decide on a dispatch, and record the decision."""
         key = AttemptKey(dispatch.request, dispatch.attempt)
         admitted = self._admissions.get(key)
-        # A dispatch that sat in a frozen sender arrives after its entry host was
-        # told "not run": running it now would break that word.
+        # A dispatch that was buffered in a frozen entry host may arrive after that host
+        # has been answered that the attempt did not run. Running it now would make that
+        # answer false.
         if admitted is False:
-            return Rejected(ErrorCode.NEVER_RECEIVED, "the attempt was given up")
+            return Rejected(
+                ErrorCode.NEVER_RECEIVED, "the attempt has already been refused"
+            )
         if admitted:
             return Duplicate()
         rejected = _find_rejection(dispatch, state)
@@ -94,17 +105,17 @@
         return rejected or Admitted()
 
     def revoke_admission(self, key: AttemptKey) -> None:
-        """Note that an attempt which was taken in has been refused after all.
+        """Record that an admitted attempt was refused before it ran.
 
-        Its refusal is forgotten with its frames; a later question about it must
-        still find the proof that it never ran.
+        The refusal itself is discarded together with the attempt's frames. A later
+        query for the attempt must still find the proof that it never ran.
         """
         self._record(key, False)
 
     def add_tombstone(self, key: AttemptKey) -> bool:
-        """Make sure that an attempt never runs.
+        """Prevent an attempt that has not arrived from ever running here.
 
-        :returns: False when it was taken in already, so that nothing is promised.
+        :returns: False if the attempt was admitted before, so that it may have run.
         """
         if self._admissions.get(key):
             return False
@@ -118,32 +129,31 @@
 
 
 def _find_rejection(dispatch: Dispatch, state: GateState) -> Rejected | None:
-    # An attempt meant for an earlier incarnation may have run there before the
-    # agent restarted; only this incarnation's own attempts are known here.
+    # An attempt for an earlier incarnation may have run before the agent restarted, and
+    # only attempts of the current incarnation are recorded here.
     if dispatch.incarnation != state.incarnation:
         return Rejected(
             ErrorCode.STALE_INCARNATION,
-            f"meant for incarnation {dispatch.incarnation}, this is "
+            f"dispatched to incarnation {dispatch.incarnation}, current incarnation is "
             f"{state.incarnation}",
         )
     if state.draining:
-        return Rejected(ErrorCode.DRAINING, "the target is leaving")
+        return Rejected(ErrorCode.DRAINING, "the target is draining")
     document = state.document
-    # The entry host missed a change, cut off from control or late: acting on its
-    # document would run what the accepted one no longer allows.
+    # The entry host has missed a change because it is cut off from control or behind.
+    # Its document may allow what the document in force forbids.
     if document is not None and dispatch.revision < document.revision:
         return Rejected(
             ErrorCode.STALE_REVISION,
             f"decided by revision {dispatch.revision}, {document.revision} is in force",
             document=document,
         )
-    # With no live lease on either side nobody can tell whether a newer document is
-    # in force elsewhere.
+    # Without a valid lease on either side, a newer document may be in force elsewhere.
     unconfirmed_run = not dispatch.confirmed and not state.current
     if unconfirmed_run and state.unconfirmed is Unconfirmed.REFUSE:
         return Rejected(
             ErrorCode.NO_QUORUM,
-            "no control quorum vouches for the document",
+            "no valid lease from a control quorum covers the document",
             NO_LEASE_RETRY_AFTER_SECONDS,
         )
     return None
--- a/src/ibishead/agent/loader.py
+++ b/src/ibishead/agent/loader.py
@@ -1,7 +1,8 @@
-"""Brings adapters into the engine's slots and takes them out again.
+"""Loading of adapters into the engine's slots, and their eviction.
 
-Which load goes first and which adapter leaves is decided in `ibishead.decisions`;
-here the decisions meet the permits of the weight store and the engine's answers.
+The choice of the next load and of the adapter to evict is made in `ibishead.decisions`.
+This module obtains permits for the weight store and sends the load and unload commands
+to the engine.
 """
 
 import asyncio
@@ -24,39 +25,48 @@
 
 logger = logging.getLogger(__name__)
 
-#: Loads in flight at one engine; the store serves eight for the whole fleet.
+#: Concurrent loads at one engine; the weight store serves eight at once for all engines
+#: together.
 MAX_CONCURRENT_LOADS = 2
 
-#: Weight of the newest load in the mean time of one.
+#: Weight of the latest load in the moving average of load times.
 SMOOTHING_FACTOR = 0.1
 
-#: Seconds that a load takes while none has been measured.
+#: Seconds assumed for a load until one has been measured.
 INITIAL_LOAD_SECONDS = 0.25
 
 
 class LoadAuthority(Protocol):
-    """What a loader asks of the control quorum."""
+    """Interface to the control quorum that a loader needs."""
 
     @property
     def incarnation(self) -> Incarnation:
-        """The fencing number of this agent's orders."""
+        """Fencing number sent with this agent's commands."""
 
     def has_authority(self) -> bool:
-        """Whether this agent may still order its target about."""
+        """Whether this agent may still send commands to its target."""
 
     async def obtain_permit(self, urgency: float) -> int:
-        """Return the number of a granted load, or raise `Unavailable`."""
+        """Wait for a load permit and return its number.
+
+        :raises Unavailable: no permit was granted in time.
+        """
 
     def release_permit(self, number: int) -> None:
-        """Give a load permit back."""
+        """Release a load permit."""
 
 
 class Loader:
-    """Loads what waits, one engine's share of the fleet's loads.
+    """Loads the adapters that queued requests need.
+
+    The number of concurrent loads is limited to one engine's share of the loads of all
+    engines.
 
     :param changed: called whenever a load begins or ends.
-    :ivar doubtful: an order failed, so the engine may hold other adapters than the
-        slot table says, until they are listed again.
+    :ivar needs_reconciling: a command failed, so the engine may hold other adapters
+        than the slot table shows until they are listed again.
+    :ivar seconds_per_load: moving average of the seconds from the first request for an
+        adapter until it is resident.
     """
 
     def __init__(
@@ -83,7 +93,7 @@
         self._queued_counts: Counter[AdapterKey] = Counter()
 
     def stop(self) -> None:
-        """Abandon the loads in progress."""
+        """Cancel the loads in progress."""
         for task in self._loads.values():
             task.cancel()
 
@@ -92,12 +102,12 @@
         self._reuse_counter.observe_use(key.digest, self._clock.monotonic())
 
     def should_redirect(self, key: AdapterKey) -> bool:
-        """Whether loads fail here, so that its requests belong at another target."""
+        """Whether loads of the adapter fail here, so requests should go elsewhere."""
         now = self._clock.monotonic()
         return key in self._redirected and now < self._backoff.read(key.digest)
 
     def start_loads(self, queued: list[Attempt]) -> None:
-        """Begin the most urgent loads for what waits."""
+        """Start the most urgent loads for the queued attempts."""
         now = self._clock.monotonic()
         self._queued_counts = Counter(
             a.adapter for a in queued if a.adapter is not None
@@ -118,17 +128,17 @@
             self._loads[key] = asyncio.create_task(self._load(key, source, candidate))
 
     def count_available_slots(self) -> int:
-        """Return how many loads could begin, as slots are empty or unpinned."""
+        """Return how many loads could start now, in empty or evictable slots."""
         held = sum(len(self._slots.list_keys(state)) for state in SlotState)
         pending = sum(not self._slots.has_slot(key) for key in self._loads)
         return self._slots.count - held + self._slots.count_unpinned() - pending
 
     def count_pending_loads(self) -> int:
-        """Return how many adapters are waited for and not on their way."""
+        """Return how many adapters queued requests need that no load has begun for."""
         return self._candidate_count
 
     def estimate_coldest_reuse(self) -> float:
-        """Return the aged uses of what would leave next, 0 for an empty slot."""
+        """Return the aged use count of the next victim, 0 for an empty slot."""
         if self._slots.has_free_slot():
             return 0.0
         now = self._clock.monotonic()
@@ -168,7 +178,8 @@
                 )
         except IbisheadError as error:
             logger.info(
-                "no load", extra={"adapter": key.adapter, "reason": error.message}
+                "adapter not loaded",
+                extra={"adapter": key.adapter, "reason": error.message},
             )
         finally:
             if permit is not None:
@@ -222,12 +233,13 @@
             self._slots.end_load(key, boot, loaded)
 
     def _check_authority(self) -> None:
-        # Between the decision and the order this process may have been frozen, and
-        # another agent may serve the target now; checked with no await in between.
+        # Between the decision and the command this process may have been frozen, and
+        # another agent may serve the target by now. There must be no await between this
+        # check and the command.
         if not self._authority.has_authority():
             raise LinkLost(
-                "this agent's authority over its target is in doubt",
-                "none is needed, it is confirmed with the control quorum",
+                "this agent is not registered for its target or was superseded",
+                "none is needed, the registration is checked with the control quorum",
                 code=ErrorCode.STALE_INCARNATION,
             )
 
--- a/src/ibishead/agent/main.py
+++ b/src/ibishead/agent/main.py
@@ -26,16 +26,17 @@
 
 
 async def run_agent(settings: AgentSettings) -> None:
-    """Serve until a planned stop or until another agent has taken over.
+    """Serve until a planned stop or until another agent has superseded this one.
 
-    :raises StorageFault: another agent of this host's slot runs.
+    :raises StorageFault: another agent holds the lock of this host's slot.
     """
     lock = _lock_slot(settings.lock)
     clock = SystemClock()
     tls = None
     if settings.peer_tls is not None:
         tls = make_server_context(settings.peer_tls.pair, settings.peer_tls.ca)
-    # Nobody knows the port before the agent below has registered it
+    # The callbacks refer to the agent created below. No peer knows the port before that
+    # agent has registered it.
     server = LinkServer(
         lambda link: agent.serve(link), lambda: agent.greet(), clock, tls=tls
     )
@@ -53,9 +54,9 @@
         settings.operators,
         (await operator_server.start(settings.operators.endpoint)).port,
     )
-    logger.info("agent serves", extra={"address": str(bound)})
-    await _wait_for_stop(agent.registrar)
-    logger.info("agent stops")
+    logger.info("agent started", extra={"address": str(bound)})
+    await _wait_for_stop_or_successor(agent.registrar)
+    logger.info("agent stopping")
     await agent.finish()
     await server.stop()
     await agent.stop()
@@ -64,7 +65,7 @@
         os.close(lock)
 
 
-async def _wait_for_stop(registrar: ControlRegistrar) -> None:
+async def _wait_for_stop_or_successor(registrar: ControlRegistrar) -> None:
     stop_tasks = [
         asyncio.create_task(wait_for_stop()),
         asyncio.create_task(registrar.superseded.wait()),
@@ -75,9 +76,10 @@
 
 
 def _lock_slot(path: Path | None) -> int | None:
-    # Two agents of one slot would both order the target about, and many targets
-    # don't check who orders. A frozen agent keeps the lock: its queued orders may
-    # still leave when it thaws, so nobody may take over before it has ended.
+    # Two agents of one slot would both send commands to the target, and many targets do
+    # not check the sender. A frozen agent keeps the lock: commands that it has queued
+    # may still be sent when it resumes, so no other agent may start before its process
+    # has ended.
     if path is None:
         return None
     handle = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
@@ -86,8 +88,8 @@
     except BlockingIOError as error:
         os.close(handle)
         raise StorageFault(
-            f"another agent holds {path}",
-            "end that agent first, also when it seems frozen",
+            f"another agent holds the lock {path}",
+            "end that agent first, even if it appears frozen",
             code=ErrorCode.STORAGE_LOCKED,
         ) from error
     return handle
@@ -95,7 +97,7 @@
 
 main = make_command(
     "agent",
-    "Stand beside one target, as its only client.",
+    "Run the agent of one target, as its only client.",
     load_agent_settings,
     run_agent,
 )
--- a/src/ibishead/agent/pages.py
+++ b/src/ibishead/agent/pages.py
@@ -1,4 +1,4 @@
-"""What an agent shows to operators and the platform."""
+"""HTTP pages of an agent for operators and the platform."""
 
 from ibishead.agent.registrar import ControlRegistrar
 from ibishead.agent.scheduler import Scheduler
@@ -10,7 +10,7 @@
 
 
 class AgentPages:
-    """Health and metrics of one agent."""
+    """Health and metrics pages of one agent."""
 
     def __init__(
         self, scheduler: Scheduler, registrar: ControlRegistrar, metrics: Metrics
@@ -20,10 +20,10 @@
         self._metrics = metrics
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer a page.
+        """Answer a request for a page.
 
         :raises NotFound: there is no such page.
-        :raises Unavailable: from ``/readyz``, the target takes no work.
+        :raises Unavailable: from ``/readyz``, the target accepts no requests.
         """
         match exchange.request.path:
             case "/livez":
@@ -35,18 +35,16 @@
                 headers, body = self._metrics.render()
                 await exchange.respond(200, headers, body)
             case path:
-                raise NotFound(
-                    f"nothing is served at {path}", "use /livez, /readyz or /metrics"
-                )
+                raise NotFound(f"no page at {path}", "use /livez, /readyz or /metrics")
 
     def _check_ready(self) -> None:
         if self._scheduler.draining:
             raise Unavailable(
-                "the target is leaving", "none is needed", code=ErrorCode.DRAINING
+                "the target is draining", "none is needed", code=ErrorCode.DRAINING
             )
         if not self._scheduler.healthy or not self._registrar.incarnation:
             raise Unavailable(
-                "the target doesn't answer, or isn't registered yet",
-                "see the agent's log",
+                "the target doesn't respond or isn't registered yet",
+                "check the agent's log",
                 code=ErrorCode.TARGET_FAILED,
             )
--- a/src/ibishead/agent/reception.py
+++ b/src/ibishead/agent/reception.py
@@ -1,10 +1,10 @@
-"""The links of entry hosts: dispatches in, frames and load reports out."""
+"""Links from entry hosts: receives dispatches, sends frames and load reports."""
 
 import asyncio
 from collections.abc import Callable
 
 from ibishead.agent.attempts import Attempt
-from ibishead.agent.gate import AttemptKey, GateState, Rejected, Duplicate, Admitted
+from ibishead.agent.gate import Admitted, AttemptKey, Duplicate, GateState, Rejected
 from ibishead.agent.scheduler import Scheduler
 from ibishead.agent.slots import AdapterKey
 from ibishead.clock import Clock
@@ -27,15 +27,15 @@
 #: Seconds between load reports while the load changes.
 REPORT_INTERVAL_SECONDS = 0.05
 
-#: Seconds between load reports while it doesn't.
+#: Seconds between load reports while the load does not change.
 IDLE_REPORT_INTERVAL_SECONDS = 0.5
 
 
 class Reception:
     """Serves the links of all entry hosts.
 
-    :param gate_state: what the agent knows, asked for at each dispatch.
-    :param own: whether an incarnation was this process's own.
+    :param gate_state: returns the gate's state, called for each dispatch.
+    :param is_own: whether an incarnation belongs or belonged to this process.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self._links: set[Link] = set()
 
     async def serve(self, link: Link) -> None:
-        """Serve one link until it is over; what runs goes on without it."""
+        """Serve one link until it closes; its attempts continue to run without it."""
         self._links.add(link)
         link.send(self._scheduler.report())
         try:
@@ -64,7 +64,7 @@
             self._scheduler.attempts.remove_watcher(link)
 
     async def report_load(self) -> None:
-        """Send load reports to all links, soon after the load has changed."""
+        """Send load reports to all links, at intervals and soon after a change."""
         changed = self._scheduler.changed
         while True:
             try:
@@ -125,18 +125,18 @@
         if found is not None:
             found.add_watcher(link, resume.next_sequence)
         elif self._is_own(resume.incarnation) and self._gate.add_tombstone(key):
-            # Nothing of the attempt has come and, once buried, nothing of it will
-            # ever run here: this is the proof that lets it run elsewhere.
+            # The attempt has not arrived, and the tombstone keeps it from ever running
+            # here. This proof allows the entry host to run it elsewhere.
             link.send(
                 NotRun(
                     resume.request,
                     resume.attempt,
                     ErrorCode.NEVER_RECEIVED,
-                    "the dispatch never arrived and is refused from now on",
+                    "the dispatch was not received and will be refused if it arrives",
                 )
             )
         else:
-            # An earlier agent may have run it, or the answer is no longer kept
+            # An earlier agent may have run it, or its frames have been discarded
             link.send(
                 AnswerEnd(
                     resume.request,
@@ -144,7 +144,7 @@
                     resume.next_sequence,
                     Outcome.UNKNOWN,
                     ErrorCode.OUTCOME_UNKNOWN,
-                    "this agent doesn't know how the attempt ended",
+                    "this agent has no record of how the attempt ended",
                 )
             )
 
--- a/src/ibishead/agent/registrar.py
+++ b/src/ibishead/agent/registrar.py
@@ -1,4 +1,4 @@
-"""The agent's standing with control: its incarnation, permits and recorded ends."""
+"""Registration with control: incarnation, load permits and recorded outcomes."""
 
 import asyncio
 import contextlib
@@ -27,25 +27,26 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds in which the quorum records an outcome before the caller is answered
-#: without it. Longer than an election, shorter than a caller's patience.
+#: Seconds to wait for the quorum to record an outcome before the caller is answered
+#: without the record. Longer than an election, shorter than callers usually wait.
 RECORD_TIMEOUT_SECONDS = 2.0
 
-#: Tries to record an outcome; together they span a minute.
+#: Maximum number of attempts to record an outcome; together they span a minute.
 MAX_RECORD_ATTEMPTS = 30
 
-#: Largest answer that is kept with a claim, in bytes.
+#: Largest answer body that is stored with a claim, in bytes.
 MAX_RECORDED_ANSWER_BYTES = 16 * 1024
 
-#: Seconds that a permit may be waited for in one ask.
+#: Seconds to wait for a permit in one request.
 PERMIT_TIMEOUT_SECONDS = 2.0
 
 
 class ControlRegistrar:
-    """Registers the target and speaks for it.
+    """Registers the target with control and acts on its behalf there.
 
-    :param announcement: what to register; its nonce is drawn anew when control
-        has ended the incarnation.
+    :param announcement: registration to send; its nonce is replaced when control has
+        ended the incarnation.
+    :ivar superseded: set once another agent serves the target.
     """
 
     def __init__(
@@ -63,11 +64,11 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The current fencing number, 0 before the first registration."""
+        """Current fencing number, 0 before the first registration."""
         return self._incarnations[-1] if self._incarnations else Incarnation(0)
 
     def is_own_incarnation(self, incarnation: Incarnation) -> bool:
-        """Whether an incarnation was this process's own."""
+        """Whether an incarnation belongs or belonged to this process."""
         return incarnation in self._incarnations
 
     def has_authority(self) -> bool:
@@ -86,18 +87,18 @@
                 logger.info("registered", extra={"incarnation": answer.incarnation})
 
     def reattach(self) -> None:
-        """Register again over a new link, which tells control who follows now."""
+        """Register again over a new link, which tells control which link is in use."""
         if self._incarnations:
             self._begin_registration()
 
     def check_catalog(self) -> None:
-        """Compare the catalog with this agent's own standing.
+        """Compare the catalog with this agent's own registration.
 
-        A newer incarnation means that another agent serves the target now; one that
-        has vanished means that control took this agent for dead.
+        A newer incarnation means that another agent serves the target now. A missing
+        one means that control has declared this agent dead.
         """
-        # Until a registration is answered, its incarnation is in the catalog but not
-        # yet known here, and would pass for another agent's.
+        # Until the registration is answered, the catalog may hold an incarnation that
+        # is not yet known here and would be mistaken for another agent's.
         if not self._incarnations or self._is_registering():
             return
         target = self._announcement.target
@@ -105,8 +106,8 @@
         record = catalog.find_target(target)
         if record is not None and record.incarnation > self.incarnation:
             self.superseded.set()
-        # An incarnation is the index of the log at which it was registered, so a
-        # catalog that has come that far and lacks it has seen it end.
+        # An incarnation is the log index at which it was registered. A catalog that has
+        # reached this index and lacks the incarnation has applied its end.
         elif record is None and catalog.index >= self.incarnation:
             self._announcement = msgspec.structs.replace(
                 self._announcement, nonce=uuid.uuid4().hex
@@ -123,9 +124,10 @@
         self._registration.add_done_callback(lambda _: self.check_catalog())
 
     async def obtain_permit(self, urgency: float) -> int:
-        """Return the number of a granted load.
+        """Wait for a load permit and return its number.
 
-        :raises Unavailable: none has come in time.
+        :param urgency: rank of the load among all that wait for a permit.
+        :raises Unavailable: no permit was granted in time.
         """
         self._last_permit += 1
         number = self._last_permit
@@ -135,22 +137,22 @@
         try:
             await self._subscription.ask_permit(request, PERMIT_TIMEOUT_SECONDS)
         except BaseException:
-            # A grant may be on its way; given back, it doesn't hold up others
+            # A grant may be in transit; releasing it keeps it from blocking other loads
             self.release_permit(number)
             raise
         return number
 
     def release_permit(self, number: int) -> None:
-        """Give a load permit back."""
+        """Release a load permit."""
         self._subscription.release_permit(
             ReleasePermit(self._announcement.target, self.incarnation, number)
         )
 
     async def record_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Record how a claimed request ended, before its caller is told.
+        """Record the outcome of a claimed request before its caller is answered.
 
-        When the quorum doesn't answer in time the caller is told all the same, and
-        the record is tried again in the background.
+        If the quorum does not confirm in time, the caller is answered without the
+        record, and recording continues in the background.
         """
         if attempt.dispatch.idempotent:
             return
--- a/src/ibishead/agent/runner.py
+++ b/src/ibishead/agent/runner.py
@@ -1,7 +1,7 @@
-"""Runs one attempt at the target and owes its answer in frames.
+"""Execution of one attempt at the target, and delivery of its answer in frames.
 
-What raises before the request's bytes are written has not run. From then on only
-the target's own answer ends the doubt.
+A request that fails before its bytes are written has not run. After that, only the
+target's own answer shows whether it has run.
 """
 
 from collections.abc import AsyncIterator
@@ -20,10 +20,11 @@
 
 __all__ = ["RunEnd", "run_attempt"]
 
-#: Largest answer that is held back until it is whole and checked.
+#: Largest answer, in bytes, that is buffered in full so that its model can be checked
+#: before it is delivered.
 MAX_BUFFERED_ANSWER_BYTES = 16 * 1024 * 1024
 
-#: Bytes in which the first event of a stream must come.
+#: Maximum size of the first event of a stream, in bytes.
 MAX_FIRST_EVENT_BYTES = 64 * 1024
 
 _MODEL_NOT_FOUND = 404
@@ -31,7 +32,7 @@
 
 
 class RunEnd(Enum):
-    """How a run ended, as far as the target shows."""
+    """How a run ended, as far as the target's answer shows."""
 
     COMPLETED = "completed"
     ADAPTER_MISSING = "adapter missing"
@@ -50,12 +51,18 @@
     waited: tuple[float, float],
     target: TargetId,
 ) -> RunEnd:
-    """Give the request to the target and owe all of its answer but the end.
-
-    :param boot: in which the adapter is pinned, none for a plain service.
-    :param waited: seconds in the queue, and seconds for the adapter.
-    :raises TargetRestarted: nothing was sent.
-    :raises LinkLost: once ``attempt.sent`` is set, the request may have run.
+    """Send the request to the target and emit all frames of its answer but the last.
+
+    :param attempt: attempt to run.
+    :param client: client of the target.
+    :param boot: boot of the target in which the adapter is pinned, none for a plain
+        service.
+    :param waited: seconds in the queue, and seconds until the adapter was resident.
+    :param target: id of the target, for the head frame.
+    :returns: how the run ended.
+    :raises TargetRestarted: the target is in another boot; nothing was sent.
+    :raises LinkLost: the connection failed; if ``attempt.sent`` is set, the request may
+        have run.
     """
     dispatch = attempt.dispatch
     async with client.borrow(boot, fresh=not dispatch.idempotent) as connection:
@@ -101,8 +108,8 @@
     else:
         first = await _read_whole(answer)
         payload = first
-    # The engine names the model that made the answer. An answer of another one
-    # must not reach a caller who asked for this adapter and version.
+    # The engine names the model that produced the answer. An answer of another model
+    # must not reach a caller who requested this adapter and version.
     if answer.status == 200 and not _matches_adapter(attempt, payload):
         return RunEnd.WRONG_MODEL
     attempt.emit_head(answer.status, drop_hop_by_hop(answer.headers), target, waited)
@@ -127,7 +134,7 @@
         if len(first) > MAX_FIRST_EVENT_BYTES:
             break
     raise LinkLost(
-        "the engine's stream began with no event",
+        "the engine's stream has no complete first event",
         "check the engine's log",
         code=ErrorCode.TARGET_FAILED,
     )
@@ -142,7 +149,7 @@
         if size > MAX_BUFFERED_ANSWER_BYTES:
             raise LinkLost(
                 f"the engine's answer exceeds {MAX_BUFFERED_ANSWER_BYTES} bytes",
-                "ask for a stream",
+                "request a stream",
                 code=ErrorCode.TARGET_FAILED,
             )
     return b"".join(pieces)
--- a/src/ibishead/agent/scheduler.py
+++ b/src/ibishead/agent/scheduler.py
@@ -1,6 +1,7 @@
-"""Decides, turn by turn, which of the waiting attempts the target runs.
+"""Scheduling of queued attempts: which of them the target runs, and when.
 
-The choice itself is in `ibishead.decisions`; here it meets the attempts and slots.
+The choice itself is made in `ibishead.decisions`; this module applies it to attempts
+and adapter slots.
 """
 
 import asyncio
@@ -25,47 +26,53 @@
 from ibishead.messages import LoadReport, Outcome
 from ibishead.metrics import Measure, Metrics
 
-__all__ = ["Registrar", "Scheduler", "TargetShape"]
+__all__ = ["Registrar", "Scheduler", "TargetCapacity"]
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between turns while nothing happens, for deadlines to be seen.
+#: Maximum seconds between scheduling iterations, so that deadlines are checked when no
+#: event occurs.
 TICK_SECONDS = 0.1
 
-#: Seconds that a target may be unreachable before what waits for it is handed back.
+#: Seconds for which a target may be unreachable before its queued attempts are refused.
 UNHEALTHY_GRACE_SECONDS = 1.0
 
-#: How often one attempt may find the engine without its adapter.
+#: Number of times that one attempt is queued again after the engine lacked its adapter
+#: or the target had restarted.
 MAX_REQUEUES = 3
 
-#: Weight of the newest run in the mean time of one run.
+#: Weight of the latest run in the moving average of run times.
 SMOOTHING_FACTOR = 0.1
 
-#: Seconds that a run takes while none has been measured.
+#: Seconds assumed for a run until one has been measured.
 INITIAL_RUN_SECONDS = 0.5
 
+#: Minimum seconds after which a refused caller may retry.
 RETRY_AFTER_SECONDS = 1.0
 
-#: Looks in a row at which an engine must not show a run. Engines report late, and
-#: a request may lie unread in their socket at the first.
+#: Consecutive samples in which an engine must not show a run before it counts as
+#: unresponsive. Engines report with a delay, and a request may still be unread in the
+#: engine's socket at the first sample.
 MAX_ABSENT_SAMPLES = 4
 
-#: Seconds without a piece of a stream that has begun. Tokens are to come every few
-#: hundredths of a second, so this is a target that has stopped.
+#: Seconds without data after which a stream that has begun counts as unresponsive.
+#: Tokens are due every few hundredths of a second, so such a target has stopped.
 STREAM_IDLE_SECONDS = 10.0
 
-#: Seconds after its deadline in which an answer may still begin. Its caller has been
-#: told, but who asks again with the same key gets what is recorded.
+#: Seconds after its deadline within which an answer may still begin. The caller has
+#: been answered by then, but a retry with the same idempotency key gets the recorded
+#: outcome.
 LATE_ANSWER_SECONDS = 10.0
 
 
 @dataclass(frozen=True)
 class TargetCapacity:
-    """What a target can do at once.
+    """Capacity of a target.
 
-    :param is_engine: it holds adapters; otherwise it is a plain service.
-    :param batch: requests that it runs at once.
-    :param failure_backoff: seconds before a load that failed once is tried again.
+    :param is_engine: the target holds adapters; otherwise it is a plain service.
+    :param batch: maximum number of requests that it runs concurrently.
+    :param slots: number of its adapter slots.
+    :param failure_backoff: seconds before a load that failed once is retried.
     """
 
     target: TargetId
@@ -76,14 +83,20 @@
 
 
 class Registrar(LoadAuthority, Protocol):
-    """What a scheduler asks of the control quorum."""
+    """Interface to the control quorum that a scheduler needs."""
 
     async def record_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Record how a claimed request ended."""
+        """Record the outcome of a claimed request."""
 
 
 class Scheduler:
-    """Runs attempts at one target."""
+    """Queues attempts and runs them at one target.
+
+    :ivar gate: admission control for dispatches.
+    :ivar attempts: attempts whose frames may still be requested.
+    :ivar draining: no new attempts are admitted.
+    :ivar changed: set when the load has changed since it was last reported.
+    """
 
     def __init__(
         self,
@@ -128,11 +141,11 @@
 
     @property
     def healthy(self) -> bool:
-        """Whether the target answers."""
+        """Whether the target responds to probes."""
         return self._watcher.healthy
 
     def start(self) -> None:
-        """Begin to run what is submitted."""
+        """Start scheduling attempts and probing the target."""
         self._tasks = [
             asyncio.create_task(self._run_scheduler()),
             asyncio.create_task(self._watcher.watch()),
@@ -147,36 +160,39 @@
         self._client.close()
 
     def begin_drain(self) -> None:
-        """Take nothing new from now on, and say so in every report."""
+        """Admit no new attempts from now on, and announce it in all load reports."""
         if not self.draining:
             self.draining = True
             self.changed.set()
 
     async def finish(self) -> None:
-        """Return once every attempt has ended and its frames are delivered."""
+        """Drain; return once all attempts have ended and their frames are received."""
         self.begin_drain()
         while self._list_unfinished() or self._has_undelivered_frames():
             await asyncio.sleep(TICK_SECONDS)
 
     def submit(self, attempt: Attempt) -> None:
-        """Queue an attempt that the gate has taken in."""
+        """Queue an attempt that the gate has admitted."""
         self.attempts.add(attempt)
         if attempt.adapter is not None:
             self._loader.observe_use(attempt.adapter)
         self._wake.set()
 
     def cancel(self, attempt: Attempt) -> None:
-        """End an attempt whose caller has left, where that does no harm."""
+        """Cancel an attempt whose caller has disconnected.
+
+        A running attempt is cancelled only if its request is idempotent.
+        """
         now = self._clock.monotonic()
         if attempt.state is AttemptState.QUEUED:
-            attempt.refuse(ErrorCode.CANCELLED, "the caller left", now, 0.0)
+            attempt.refuse(ErrorCode.CANCELLED, "the caller disconnected", now, 0.0)
         elif attempt.dispatch.idempotent and attempt.task is not None:
-            # A non-idempotent run goes on: its outcome must be on record
+            # A non-idempotent run continues, since its outcome must be recorded
             attempt.task.cancel()
         self._wake.set()
 
     def report(self) -> LoadReport:
-        """Return the load as it is now."""
+        """Return the current load."""
         running = self.attempts.list_in(AttemptState.RUNNING)
         queued = self.attempts.list_in(AttemptState.QUEUED)
         return LoadReport(
@@ -197,7 +213,7 @@
             stalled=sum(not self._is_ready(attempt) for attempt in queued),
         )
 
-    # Turns ------------------------------------------------------------------
+    # Scheduling -------------------------------------------------------------
 
     async def _run_scheduler(self) -> None:
         while True:
@@ -218,8 +234,8 @@
                 self.gate.revoke_admission(attempt.key)
 
     def _refuse_unservable(self, now: float) -> None:
-        # What can't be run here in time is worth more elsewhere, or refused at
-        # once, than held until its deadline.
+        # Attempts that can't run here in time are refused at once, so that they can run
+        # at another target or be retried, rather than held until their deadline.
         queued = {a.key: a for a in self.attempts.list_in(AttemptState.QUEUED)}
         unreachable = self._watcher.measure_downtime() > UNHEALTHY_GRACE_SECONDS
         views = [self._make_view(attempt, now) for attempt in queued.values()]
@@ -229,12 +245,15 @@
             if (key.request, key.attempt) in late_keys:
                 code, reason = (
                     ErrorCode.DEADLINE_EXCEEDED,
-                    "it can no longer end before its deadline here",
+                    "too late to complete before the deadline at this target",
                 )
             elif unreachable:
-                code, reason = ErrorCode.TARGET_FAILED, "the target doesn't answer"
+                code, reason = ErrorCode.TARGET_FAILED, "the target doesn't respond"
             elif attempt.adapter and self._loader.should_redirect(attempt.adapter):
-                code, reason = ErrorCode.LOAD_FAILED, "the adapter fails to load here"
+                code, reason = (
+                    ErrorCode.LOAD_FAILED,
+                    "the adapter fails to load at this target",
+                )
             else:
                 continue
             attempt.refuse(code, reason, now, self._estimate_wait())
@@ -320,10 +339,10 @@
         except asyncio.CancelledError:
             if attempt.unresponsive:
                 await self._end_unconfirmed(
-                    attempt, "the connection to the target went silent"
+                    attempt, "the connection to the target stopped responding"
                 )
             else:
-                reason = "the caller left"
+                reason = "the caller disconnected"
                 self._end(attempt, Outcome.UNKNOWN, ErrorCode.CANCELLED, reason)
         except IbisheadError as error:
             ended = not attempt.sent
@@ -344,18 +363,20 @@
                 await self._registrar.record_outcome(attempt, Outcome.COMPLETED)
                 self._end(attempt, Outcome.COMPLETED)
             case RunEnd.ADAPTER_MISSING:
-                # The engine said itself that it ran nothing
+                # The engine's answer states that it ran nothing
                 if attempt.adapter is not None:
                     self._slots.drop(attempt.adapter)
-                self._requeue(attempt, "the engine doesn't hold the adapter")
+                self._requeue(attempt, "the engine has not loaded the adapter")
             case RunEnd.WRONG_MODEL:
                 self._watcher.mark_unhealthy()
                 self._slots.begin_boot(BootId(""), (), self._clock.monotonic())
                 await self._end_unconfirmed(
-                    attempt, "the engine answered by another model"
+                    attempt, "the answer names another model than the one requested"
                 )
             case RunEnd.FAILED:
-                await self._end_unconfirmed(attempt, "the engine failed on the request")
+                await self._end_unconfirmed(
+                    attempt, "the engine returned a server error"
+                )
 
     async def _handle_error(self, attempt: Attempt, error: IbisheadError) -> None:
         if attempt.sent:
@@ -369,7 +390,7 @@
     async def _end_unconfirmed(self, attempt: Attempt, reason: str) -> None:
         if attempt.finish_stream():
             logger.info(
-                "stream completed without its connection",
+                "stream completed after its connection was lost",
                 extra={"request": attempt.dispatch.request, "reason": reason},
             )
             await self._handle_run_end(attempt, RunEnd.COMPLETED)
@@ -410,12 +431,12 @@
                 attempt.unresponsive = _is_unresponsive(attempt, busy, now)
                 if attempt.unresponsive:
                     attempt.task.cancel()
-                    # What was opened before may have gone silent as well
+                    # Idle connections opened before may be unresponsive as well
                     self._client.close()
 
     def _estimate_shortest_run(self) -> float:
-        # The shortest run seen, not the mean: a short request among long ones may
-        # well end in time, and refusing it would cost its caller an answer.
+        # The shortest measured run is used, not the mean: a short request among long
+        # ones may well end in time, and refusing it would lose its answer.
         return 0.0 if self._shortest_seconds == float("inf") else self._shortest_seconds
 
     def _list_unfinished(self) -> list[Attempt]:
@@ -443,10 +464,10 @@
 
 
 def _is_unresponsive(attempt: Attempt, busy: frozenset[AdapterKey], now: float) -> bool:
-    # Failure: something between agent and target loses track of an open connection.
-    # Nothing comes and nothing is closed, so the run would hold its slot and its
-    # caller until the deadline. The engine, asked over a new connection, shows that
-    # it runs nothing with the adapter; or a stream that had begun has stopped.
+    # Failure: a device on the network path loses the state of an open connection. No
+    # data arrives and the connection is not closed, so the run would occupy its slot
+    # and block its caller until the deadline. Two signs show it: samples taken over new
+    # connections show no run with the adapter, or a stream that had begun has stopped.
     frames = attempt.buffer.next_sequence
     if frames != attempt.frames_seen or attempt.buffer.full:
         attempt.frames_seen = frames
@@ -457,8 +478,8 @@
     else:
         attempt.absent_samples += 1
     stream_idle = frames > 0 and now - attempt.last_progress > STREAM_IDLE_SECONDS
-    # A service without a list of its runs shows nothing; a run without an answer would
-    # hold its place in the batch for ever.
+    # A plain service does not list its runs, so a run without an answer would occupy
+    # its place in the batch forever. It is cancelled some time after its deadline.
     overdue = frames == 0 and now - attempt.deadline > LATE_ANSWER_SECONDS
     return stream_idle or overdue or attempt.absent_samples >= MAX_ABSENT_SAMPLES
 
--- a/src/ibishead/agent/slots.py
+++ b/src/ibishead/agent/slots.py
@@ -1,8 +1,9 @@
-"""The adapter slots of one engine, as its only client knows them.
+"""Adapter slots of one engine, as tracked by its only client.
 
-A slot is keyed by adapter and version. It is pinned while the engine runs a request
-with it, or may be: a pin whose end nobody saw lingers until the engine itself shows
-that it runs nothing with that adapter.
+A slot is identified by adapter and version. It is pinned while the engine runs a
+request with the adapter, or may run one: the pin of a request whose end was not
+observed becomes an orphaned pin, which is released once the engine's samples show no
+run with that adapter.
 """
 
 from collections.abc import Iterable
@@ -14,21 +15,22 @@
 
 __all__ = [
     "AdapterKey",
-    "Occupied",
     "Pin",
+    "ResidentAdapter",
     "SlotState",
     "SlotTable",
     "make_lora_name",
     "parse_lora_name",
 ]
 
-#: Samples in a row in which the engine must not show an adapter before a lingering
-#: pin on it ends. One could miss a request that still lies in the engine's socket.
+#: Consecutive samples in which the engine must not show an adapter before its orphaned
+#: pins are released. A single sample could miss a request that is still unread in the
+#: engine's socket.
 RELEASE_SAMPLES = 2
 
 
 class SlotState(Enum):
-    """What is in a slot."""
+    """State of an occupied slot."""
 
     LOADING = "loading"
     RESIDENT = "resident"
@@ -37,14 +39,14 @@
 
 @dataclass(frozen=True)
 class AdapterKey:
-    """An adapter in one version."""
+    """One version of an adapter."""
 
     adapter: AdapterName
     version: Version
 
     @property
     def digest(self) -> int:
-        """The short name in load reports."""
+        """Digest that identifies the adapter and version in load reports."""
         return adapter_digest(self.adapter, self.version)
 
 
@@ -59,9 +61,10 @@
 
 @dataclass(frozen=True)
 class ResidentAdapter:
-    """A resident adapter.
+    """An adapter that is loaded in a slot.
 
-    :param pins: requests that run with it, or may.
+    :param pins: number of requests that run with it or may do so, orphaned pins
+        included.
     :param last_used: monotonic seconds.
     """
 
@@ -72,18 +75,22 @@
 
 @dataclass(frozen=True, eq=False)
 class Pin:
-    """One request's hold on a slot, void once the slot itself is gone."""
+    """Reference of one request to a slot.
+
+    It refers to the slot object, so it has no effect on a later slot of the same
+    adapter.
+    """
 
     slot: _Slot
 
 
 def make_lora_name(key: AdapterKey) -> str:
-    """Return the name under which the engine knows the adapter."""
+    """Return the name under which the engine lists the adapter."""
     return f"{key.adapter}@{key.version}"
 
 
 def parse_lora_name(name: str) -> AdapterKey | None:
-    """Return the adapter of an engine's name, none for a base model."""
+    """Return the adapter of a name listed by the engine, none for a base model."""
     adapter, separator, version = name.rpartition("@")
     if not separator or not adapter or not version:
         return None
@@ -91,9 +98,10 @@
 
 
 class SlotTable:
-    """The slots of one boot of the engine.
+    """Slots of one boot of the engine.
 
-    :param count: slots that the engine has.
+    :param count: number of slots of the engine.
+    :ivar boot: boot to which the table applies.
     """
 
     def __init__(self, count: int) -> None:
@@ -104,11 +112,11 @@
     def begin_boot(
         self, boot: BootId, resident: Iterable[AdapterKey], now: float
     ) -> None:
-        """Forget all that was known and adopt what a new boot holds.
+        """Replace the table by what the engine holds in a new boot.
 
-        An engine that restarted is empty, whatever was loaded before. An engine that
-        ran before this agent did may serve a former agent's requests, so what it
-        holds lingers.
+        An engine that has restarted is empty, whatever was loaded before. An engine
+        that was running before this agent started may still run requests of an earlier
+        agent, so each adapter that it holds gets an orphaned pin.
         """
         self.boot = boot
         self._slots = {
@@ -117,16 +125,16 @@
         }
 
     def begin_load(self, key: AdapterKey, now: float) -> None:
-        """Take a slot for an adapter on its way.
+        """Reserve a slot for an adapter that is being loaded.
 
-        :raises ValueError: no slot is free.
+        :raises ValueError: no slot is free, or the adapter has one.
         """
         if key in self._slots or len(self._slots) >= self.count:
             raise ValueError("no slot is free")
         self._slots[key] = _Slot(SlotState.LOADING, last_used=now)
 
     def end_load(self, key: AdapterKey, boot: BootId, loaded: bool) -> None:
-        """Note how a load ended; one of a former boot counts for nothing."""
+        """Record the result of a load; one of an earlier boot is ignored."""
         slot = self._slots.get(key)
         if boot != self.boot or slot is None:
             return
@@ -136,10 +144,11 @@
             del self._slots[key]
 
     def begin_unload(self, key: AdapterKey) -> bool:
-        """Mark a slot as leaving, and return whether it may.
+        """Mark an adapter as unloading, unless it is pinned or not resident.
+
+        Check and mark are one step, so that no request can be pinned in between.
 
-        The check and the mark are one step, so that no request can be pinned
-        between them.
+        :returns: whether the adapter may be unloaded.
         """
         slot = self._slots.get(key)
         if slot is None or slot.state is not SlotState.RESIDENT:
@@ -150,7 +159,7 @@
         return True
 
     def end_unload(self, key: AdapterKey, boot: BootId, unloaded: bool) -> None:
-        """Note how an unload ended."""
+        """Record the result of an unload; one of an earlier boot is ignored."""
         slot = self._slots.get(key)
         if boot != self.boot or slot is None:
             return
@@ -160,11 +169,14 @@
             slot.state = SlotState.RESIDENT
 
     def drop(self, key: AdapterKey) -> None:
-        """Forget an adapter that the engine says it doesn't hold."""
+        """Remove an adapter that the engine reports as not loaded."""
         self._slots.pop(key, None)
 
     def pin(self, key: AdapterKey, now: float) -> Pin | None:
-        """Hold a resident adapter for one request; none when it isn't resident."""
+        """Pin a resident adapter for one request.
+
+        :returns: the pin, none if the adapter is not resident.
+        """
         slot = self._slots.get(key)
         if slot is None or slot.state is not SlotState.RESIDENT:
             return None
@@ -173,10 +185,10 @@
         return Pin(slot)
 
     def unpin(self, pin: Pin, ended: bool) -> None:
-        """End one request's hold on the slot that it pinned.
+        """Release the pin of one request.
 
-        :param ended: the engine itself has ended the request; otherwise it may
-            still run, so the pin lingers.
+        :param ended: the engine itself has ended the request. Otherwise it may still
+            run, so the pin becomes an orphaned one.
         """
         pin.slot.pins -= 1
         if not ended:
@@ -184,7 +196,7 @@
             pin.slot.absent_samples = 0
 
     def observe_running(self, running: frozenset[AdapterKey]) -> None:
-        """Take a sample of the adapters that the engine shows at work or waiting."""
+        """Apply a sample of the adapters in use by requests inside the engine."""
         for key, slot in self._slots.items():
             if not slot.orphaned_pins:
                 continue
@@ -194,16 +206,16 @@
 
     @property
     def has_orphaned_pins(self) -> bool:
-        """Whether any pin waits for the engine to show that it is over."""
+        """Whether any slot has orphaned pins."""
         return any(slot.orphaned_pins for slot in self._slots.values())
 
     def is_resident(self, key: AdapterKey) -> bool:
-        """Whether requests can be pinned to the adapter."""
+        """Whether the adapter can be pinned."""
         slot = self._slots.get(key)
         return slot is not None and slot.state is SlotState.RESIDENT
 
     def has_slot(self, key: AdapterKey) -> bool:
-        """Whether the adapter has a slot, in whatever state."""
+        """Whether the adapter occupies a slot, in any state."""
         return key in self._slots
 
     def has_free_slot(self) -> bool:
@@ -224,7 +236,7 @@
         return [key for key, slot in self._slots.items() if slot.state is state]
 
     def list_resident(self) -> list[ResidentAdapter]:
-        """Return what an eviction has to choose from."""
+        """Return the resident adapters, from which eviction chooses."""
         return [
             ResidentAdapter(key, slot.pins + slot.orphaned_pins, slot.last_used)
             for key, slot in self._slots.items()
@@ -232,10 +244,11 @@
         ]
 
     def reconcile(self, resident: Iterable[AdapterKey], now: float) -> None:
-        """Take in what the engine lists after an order whose end is in doubt.
+        """Adopt the engine's list of adapters after a command with an unknown result.
 
-        A load that timed out here may have ended well there and fill a slot unseen.
-        It may be leaving, too, so a slot in between two states is left alone.
+        A load that timed out here may have succeeded at the engine and occupy a slot. A
+        listed adapter may also be unloading, so slots that are being loaded or unloaded
+        are left unchanged.
         """
         listed = set(resident)
         for key in listed:
--- a/src/ibishead/agent/streamtail.py
+++ b/src/ibishead/agent/streamtail.py
@@ -1,8 +1,8 @@
-"""The last events of a model's stream, which tell whether it is whole.
+"""Last events of a model's event stream, which show whether it is complete.
 
-A stream ends with an event that names why the generation finished, and a line that
-says no more follows. When the connection is lost between the two, the answer is whole
-all the same.
+A stream ends with an event that names the finish reason of the generation and a line
+that marks the end of the stream. If the connection is lost between the two, the answer
+is complete nevertheless.
 """
 
 from enum import Enum
@@ -12,23 +12,24 @@
 
 __all__ = ["DONE_EVENT", "StreamEnd", "StreamTail"]
 
-#: The last event of a stream.
+#: Event that marks the end of a stream.
 DONE_EVENT = b"data: [DONE]\n\n"
 
-#: Bytes kept at least. An event that doesn't fit counts as unfinished.
+#: Minimum number of last bytes retained. An event that does not fit counts as
+#: unfinished.
 RETAINED_BYTES = 64 * 1024
 
 _SEPARATOR = b"\n\n"
 _DATA = b"data:"
 
-#: Reasons that an engine gives for a generation that ran to its end.
+#: Finish reasons of a generation that ended regularly.
 _FINISH_REASONS = frozenset(
     ("stop", "length", "content_filter", "tool_calls", "function_call")
 )
 
 
 class StreamEnd(Enum):
-    """How far a stream had come when its connection was lost."""
+    """Progress of a stream when its connection was lost."""
 
     UNFINISHED = "unfinished"
     FINISHED = "finished"
@@ -54,21 +55,21 @@
 
 
 class StreamTail:
-    """The end of what has come of one stream."""
+    """Retains the last bytes of one stream."""
 
     def __init__(self) -> None:
         self._tail = bytearray()
 
     def add(self, data: bytes) -> None:
-        """Take in the next bytes."""
+        """Append the next bytes."""
         self._tail += data
         if len(self._tail) > 2 * RETAINED_BYTES:
             del self._tail[:-RETAINED_BYTES]
 
     def classify(self, request: bytes) -> StreamEnd:
-        """Return how far the stream has come.
+        """Return the progress of the stream.
 
-        :param request: body of the request that it answers.
+        :param request: body of the request that the stream answers.
         """
         *_, last, remainder = (b"", *self._tail.split(_SEPARATOR))
         if remainder or not last.startswith(_DATA):
@@ -90,7 +91,7 @@
         parameters.stream_options is not None
         and parameters.stream_options.include_usage
     ):
-        # Usage comes once all choices are finished
+        # The usage event follows after all choices have finished
         return not event.choices and event.usage is not None
     if parameters.n not in (None, 1) or len(event.choices) != 1:
         return False
--- a/src/ibishead/agent/target.py
+++ b/src/ibishead/agent/target.py
@@ -1,8 +1,8 @@
-"""The target over HTTP: connections that are bound to one boot of it.
+"""HTTP client of the target, with connections that belong to one boot of it.
 
-A process can't restart without losing its connections. So a connection on which the
-boot was read belongs to that boot for good, and what is asked over it can't meet an
-engine that came back empty.
+A process can't restart without losing its connections. Therefore a connection over
+which the boot was read belongs to that boot for good, and a request sent over it can't
+reach an engine that has restarted without its adapters.
 """
 
 import asyncio
@@ -26,21 +26,22 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds in which a target must answer a probe or an order's small questions.
+#: Seconds within which a target must respond to a probe or a list request.
 PROBE_TIMEOUT_SECONDS = 2.0
 
-#: Seconds after which a load counts as failed. Eight at once take about 0.25 s each;
-#: an engine that is slower by two orders of magnitude has a fault.
+#: Seconds after which a load counts as failed. Eight concurrent loads take about 0.25 s
+#: each; an engine slower by two orders of magnitude is faulty.
 LOAD_TIMEOUT_SECONDS = 30.0
 
-#: Seconds after which an order without an answer is looked up in the engine's list.
+#: Seconds between checks of the engine's adapter list while a load command is
+#: unanswered.
 LOAD_CHECK_INTERVAL_SECONDS = 2.0
 
-#: Connections kept open for further requests.
+#: Maximum number of idle connections kept open for reuse.
 MAX_IDLE_CONNECTIONS = 64
 
-#: Seconds for which a connection is kept unused. One that has gone silent shows it only
-#: to a request, which waits on it until its deadline.
+#: Seconds for which an idle connection may be reused. A connection that no longer
+#: responds is only detected by a request, which would wait on it until its deadline.
 IDLE_TIMEOUT_SECONDS = 2.0
 
 FENCING_HEADER = "x-fencing-token"
@@ -53,15 +54,18 @@
 
 
 class TargetRestarted(LinkLost):
-    """The target isn't in the boot that was expected; nothing was sent."""
+    """The target is not in the expected boot; nothing was sent."""
 
     code = ErrorCode.TARGET_RESTARTED
 
 
 @dataclass(frozen=True)
 class EngineSample:
-    """What an engine shows of itself at one moment.
+    """State that an engine reports at one point in time.
 
+    :param boot: boot of the engine.
+    :param running: requests running in the engine.
+    :param waiting: requests waiting inside the engine.
     :param busy: adapters with requests running or waiting inside the engine.
     """
 
@@ -73,9 +77,9 @@
 
 @dataclass(frozen=True)
 class _IdleConnection:
-    """A connection that waits for its next request.
+    """An open connection that is not in use.
 
-    :param since: monotonic seconds of its last use.
+    :param since: monotonic seconds at which it was last used.
     """
 
     boot: BootId
@@ -95,7 +99,8 @@
 class TargetClient:
     """The only client of one target.
 
-    :param has_boot: the target shows its boot in ``/metrics``, as engines do.
+    :param endpoint: address of the target.
+    :param reports_boot: the target reports its boot in ``/metrics``, as engines do.
     """
 
     def __init__(self, endpoint: Endpoint, reports_boot: bool, clock: Clock) -> None:
@@ -108,12 +113,12 @@
     async def borrow(
         self, boot: BootId | None, fresh: bool = False
     ) -> AsyncIterator[ClientConnection]:
-        """Lend a connection that belongs to a boot.
+        """Lend a connection to the target, from the pool or newly opened.
 
-        :param boot: any boot when none is given.
-        :param fresh: open a new one. A kept connection may be closed by the target
-            just as a request is written to it, and then nobody can tell whether
-            the request was read; what must not run twice can't be sent again.
+        :param boot: boot that the connection must belong to; any boot if none is given.
+        :param fresh: open a new connection. The target may close a pooled connection
+            just as a request is written to it; whether the request was read is then
+            unknown, and a request that must not run twice can't be sent again.
         :raises TargetRestarted: the target is in another boot now.
         :raises LinkLost: the target can't be reached; nothing was sent.
         """
@@ -139,11 +144,12 @@
             self._release(actual, connection)
 
     async def sample(self) -> EngineSample:
-        """Ask what the engine runs, over a new connection.
+        """Read the engine's state over a new connection.
 
-        A kept one may have gone silent, which says nothing of the engine.
+        A pooled connection may have stopped responding, which does not show that the
+        engine has.
 
-        :raises LinkLost: it can't be reached or doesn't answer.
+        :raises LinkLost: the engine can't be reached or doesn't respond.
         """
         connection = await ClientConnection.open(
             self._endpoint, timeout=PROBE_TIMEOUT_SECONDS
@@ -157,9 +163,9 @@
         return sample
 
     async def check_reachable(self) -> None:
-        """Connect and hang up; a plain service needn't know any probe.
+        """Open and close a connection; a plain service need not support any probe.
 
-        :raises LinkLost: nobody accepts connections there.
+        :raises LinkLost: the target accepts no connection.
         """
         connection = await ClientConnection.open(
             self._endpoint, timeout=PROBE_TIMEOUT_SECONDS
@@ -169,7 +175,8 @@
     async def list_adapters(self, boot: BootId) -> list[AdapterKey]:
         """Return the adapters that the engine lists in this boot.
 
-        :raises TargetRestarted: it is in another boot.
+        :raises TargetRestarted: the engine is in another boot.
+        :raises LinkLost: the engine can't be reached, or its list can't be read.
         """
         async with (
             self.borrow(boot, True) as connection,
@@ -190,15 +197,19 @@
     async def load(
         self, key: AdapterKey, source: str, boot: BootId, incarnation: Incarnation
     ) -> None:
-        """Order a load, and check that the engine lists the adapter afterwards.
-
-        :raises Unavailable: the engine refused or failed, or says that it loaded
-            and doesn't list the adapter.
+        """Load an adapter, and check that the engine lists it afterwards.
+
+        :param source: location from which the engine loads the adapter.
+        :param incarnation: fencing number sent with the command.
+        :raises Unavailable: the engine refused or failed, or reports success without
+            listing the adapter.
+        :raises LinkLost: the engine can't be reached, or did not respond in time.
+        :raises TargetRestarted: the engine is in another boot.
         """
         command = msgspec.json.encode(
             {"lora_name": make_lora_name(key), "lora_path": source}
         )
-        # A kept connection may have gone silent, and a load may take long
+        # A pooled connection may have stopped responding, and a load may take long
         async with (
             self.borrow(boot, True) as connection,
             _limit_time(LOAD_TIMEOUT_SECONDS),
@@ -213,23 +224,26 @@
                     await asyncio.wait((loading,), timeout=LOAD_CHECK_INTERVAL_SECONDS)
                 )[0]:
                     if await self._is_listed(key, boot):
-                        # the connection went silent under the order
+                        # the load succeeded, but its connection stopped responding
                         return
                 status, body = loading.result()
             finally:
                 loading.cancel()
         if status != 200:
             raise _make_command_error(status, body)
-        # A load that answers 200 has been seen to be wrong; the list is the proof
+        # Engines have been seen to answer 200 without loading; the list is the proof
         if key not in await self.list_adapters(boot):
             raise _make_command_error(status, b"loaded but not listed")
 
     async def unload(
         self, key: AdapterKey, boot: BootId, incarnation: Incarnation
     ) -> None:
-        """Order an unload.
+        """Unload an adapter.
 
+        :param incarnation: fencing number sent with the command.
         :raises Unavailable: the engine refused.
+        :raises LinkLost: the engine can't be reached, or did not respond in time.
+        :raises TargetRestarted: the engine is in another boot.
         """
         command = msgspec.json.encode({"lora_name": make_lora_name(key)})
         async with (
@@ -243,7 +257,7 @@
             raise _make_command_error(status, body)
 
     def close(self) -> None:
-        """Drop all kept connections."""
+        """Close all idle connections."""
         for entry in self._idle:
             entry.connection.close()
         self._idle.clear()
@@ -266,7 +280,7 @@
         try:
             return key in await self.list_adapters(boot)
         except LinkLost as error:
-            logger.info("adapters not listed", extra={"reason": error.message})
+            logger.info("adapter list not available", extra={"reason": error.message})
             return False
 
     async def _read_boot(self, connection: ClientConnection) -> BootId:
@@ -306,7 +320,7 @@
             yield
     except TimeoutError as error:
         raise LinkLost(
-            f"the target didn't answer in {seconds} s", "check the target's own log"
+            f"no response from the target within {seconds} s", "check the target's log"
         ) from error
 
 
@@ -314,8 +328,8 @@
     start = _START_TIME.search(metrics)
     if start is None:
         raise LinkLost(
-            "the engine shows no process_start_time_seconds",
-            "use an engine that shows it in /metrics; without it a restart is unseen",
+            "the engine reports no process_start_time_seconds in /metrics",
+            "use an engine that reports it; without it restarts can't be detected",
         )
     names = {
         name.strip().decode("utf-8", "replace")
@@ -340,7 +354,7 @@
 def _make_command_error(status: int, body: bytes) -> Unavailable:
     reason = body[:200].decode("utf-8", "replace")
     return Unavailable(
-        f"the engine answered {status} to an order: {reason}",
+        f"the engine answered a load or unload with {status}: {reason}",
         "check the engine's log and the adapter's source",
         code=ErrorCode.LOAD_FAILED,
     )
--- a/src/ibishead/agent/watcher.py
+++ b/src/ibishead/agent/watcher.py
@@ -1,4 +1,4 @@
-"""Watches the target: whether it answers, in which boot, and what it holds."""
+"""Probes of the target: whether it responds, its boot and its resident adapters."""
 
 import asyncio
 import logging
@@ -14,21 +14,21 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between looks at a healthy target with nothing in doubt.
+#: Seconds between probes while the target is healthy and its state is known.
 HEALTHY_PROBE_INTERVAL_SECONDS = 0.5
 
-#: Seconds between looks while something is in doubt.
+#: Seconds between probes while the target is unhealthy or its state uncertain.
 FAST_PROBE_INTERVAL_SECONDS = 0.1
 
 
 class TargetWatcher:
-    """Looks at the target again and again.
+    """Probes the target periodically.
 
-    :param is_engine: it shows its boot and its adapters.
+    :param is_engine: the target reports its boot and its adapters.
     :param changed: called when the target's health has changed.
-    :param review_runs: called at each look with the adapters that are at work, none of
-        a plain service.
-    :ivar healthy: it answered the last look.
+    :param check_runs: called after each probe with the adapters that have requests in
+        the engine, an empty set for a plain service.
+    :ivar healthy: the target responded to the last probe.
     """
 
     def __init__(
@@ -52,14 +52,14 @@
         self._last_seen = clock.monotonic()
 
     async def watch(self) -> None:
-        """Keep `healthy` and the slot table true to what the target shows."""
+        """Update `healthy` and the slot table from periodic probes, until cancelled."""
         while True:
             try:
                 await self._probe()
                 self._last_seen = self._clock.monotonic()
                 self._set_health(True)
             except LinkLost as error:
-                logger.debug("target not seen", extra={"reason": error.message})
+                logger.debug("target probe failed", extra={"reason": error.message})
                 self._set_health(False)
             uncertain = (
                 self._slots.has_orphaned_pins
@@ -73,11 +73,11 @@
             )
 
     def mark_unhealthy(self) -> None:
-        """Take the target for unhealthy until it is seen again."""
+        """Treat the target as unhealthy until a probe succeeds."""
         self._set_health(False)
 
     def measure_downtime(self) -> float:
-        """Return the seconds since the target was last seen, 0 while it is healthy."""
+        """Return the seconds since the last successful probe, 0 while healthy."""
         return 0.0 if self.healthy else self._clock.monotonic() - self._last_seen
 
     async def _probe(self) -> None:
@@ -89,7 +89,7 @@
         if sample.boot != self._slots.boot:
             resident = await self._client.list_adapters(sample.boot)
             extra = {"boot": sample.boot, "resident": len(resident)}
-            logger.info("engine booted", extra=extra)
+            logger.info("new engine boot detected", extra=extra)
             self._slots.begin_boot(sample.boot, resident, self._clock.monotonic())
             return
         self._slots.observe_running(sample.busy)
--- a/tests/agent/test_gate.py
+++ b/tests/agent/test_gate.py
@@ -1,15 +1,15 @@
-"""The gate refuses what must not run, whatever entry hosts believe."""
+"""Admission control refuses dispatches regardless of what entry hosts assume."""
 
 import msgspec
 import pytest
 
 from ibishead.agent.gate import (
+    Admitted,
     AttemptKey,
+    Duplicate,
     Gate,
     GateState,
     Rejected,
-    Duplicate,
-    Admitted,
 )
 from ibishead.documents import Unconfirmed
 from ibishead.errors import ErrorCode
@@ -90,22 +90,22 @@
         assert verdict.code is code
 
 
-def test_stale_entry_is_handed_the_newer_document():
-    """An entry host that missed a change sends requests by the old document."""
+def test_stale_entry_gets_the_newer_document():
+    """Guards against an entry host that missed a change and uses its old document."""
     verdict = Gate().check(DISPATCH, make_state(document=NEWER))
     assert isinstance(verdict, Rejected)
     assert verdict.document == NEWER
 
 
 def test_attempt_runs_once_however_often_it_is_dispatched():
-    """A link resends a dispatch that had arrived; a second run would be a double."""
+    """Guards against a second run when a link resends a dispatch that had arrived."""
     gate = Gate()
     assert gate.check(DISPATCH, make_state()) == Admitted()
     assert gate.check(DISPATCH, make_state()) == Duplicate()
 
 
-def test_buried_attempt_never_runs():
-    """An entry host freezes with a dispatch in its buffer."""
+def test_attempt_with_a_tombstone_never_runs():
+    """Guards against a late run of a dispatch buffered in a frozen entry host."""
     gate = Gate()
     assert gate.add_tombstone(KEY)
     verdict = gate.check(DISPATCH, make_state())
@@ -113,7 +113,7 @@
     assert verdict.code is ErrorCode.NEVER_RECEIVED
 
 
-def test_taken_attempt_cant_be_buried_but_given_up():
+def test_admitted_attempt_gets_a_tombstone_only_after_revocation():
     gate = Gate()
     gate.check(DISPATCH, make_state())
     assert not gate.add_tombstone(KEY)
@@ -121,7 +121,7 @@
     assert gate.add_tombstone(KEY)
 
 
-def test_memory_of_attempts_is_bounded():
+def test_number_of_recorded_attempts_is_bounded():
     gate = Gate(capacity=2)
     for number in range(5):
         gate.check(msgspec.structs.replace(DISPATCH, attempt=number), make_state())
--- a/tests/agent/test_runner.py
+++ b/tests/agent/test_runner.py
@@ -1,4 +1,4 @@
-"""An answer reaches its caller only when it names the adapter that was asked for."""
+"""An answer is delivered only if it names the requested adapter and version."""
 
 import contextlib
 
@@ -18,8 +18,8 @@
 EVENTS = "text/event-stream"
 
 
-class OneAnswer:
-    """A target that gives the same answer to everything."""
+class FixedAnswerTarget:
+    """A target that gives the same answer to every request."""
 
     def __init__(self, status: int, kind: str, *pieces: bytes) -> None:
         self._status = status
@@ -38,15 +38,15 @@
         return ClientAnswer(self._status, (("content-type", self._kind),), chunks())
 
 
-def name(model: str) -> bytes:
+def make_answer(model: str) -> bytes:
     return msgspec.json.encode({"model": model, "text": "plan"})
 
 
-def event(model: str) -> bytes:
-    return b"data: " + name(model) + b"\n\n"
+def make_event(model: str) -> bytes:
+    return b"data: " + make_answer(model) + b"\n\n"
 
 
-async def run(target: OneAnswer) -> tuple[RunEnd, bytes]:
+async def run(target: FixedAnswerTarget) -> tuple[RunEnd, bytes]:
     attempt = Attempt(DISPATCH, 0.0, AdapterKey(DISPATCH.adapter, DISPATCH.version))
     waited = (0.0, 0.0)
     end = await run_attempt(attempt, target, BootId("1"), waited, TargetId("t1"))
@@ -57,30 +57,38 @@
 @pytest.mark.parametrize(
     ("status", "kind", "pieces", "expected"),
     [
-        (200, JSON, [name("tisza@1")], RunEnd.COMPLETED),
-        (200, EVENTS, [event("tisza@1"), b"data: [DONE]\n\n"], RunEnd.COMPLETED),
-        (200, EVENTS, [event("tisza@1")[:9], event("tisza@1")[9:]], RunEnd.COMPLETED),
+        (200, JSON, [make_answer("tisza@1")], RunEnd.COMPLETED),
+        (200, EVENTS, [make_event("tisza@1"), b"data: [DONE]\n\n"], RunEnd.COMPLETED),
+        (
+            200,
+            EVENTS,
+            [make_event("tisza@1")[:9], make_event("tisza@1")[9:]],
+            RunEnd.COMPLETED,
+        ),
         (400, JSON, [b'{"error": "bad"}'], RunEnd.COMPLETED),
         (404, JSON, [b"{}"], RunEnd.ADAPTER_MISSING),
         (500, JSON, [b"{}"], RunEnd.FAILED),
     ],
 )
-async def test_run_ends(status, kind, pieces, expected):
-    end, body = await run(OneAnswer(status, kind, *pieces))
+async def test_run_end_follows_from_the_answer(status, kind, pieces, expected):
+    end, body = await run(FixedAnswerTarget(status, kind, *pieces))
     assert end is expected
     assert body == (b"".join(pieces) if expected is RunEnd.COMPLETED else b"")
 
 
 @pytest.mark.parametrize("model", ["base", "tisza@2", "balaton@1", ""])
 @pytest.mark.parametrize("kind", [JSON, EVENTS])
-async def test_answer_of_another_model_is_held_back(kind, model):
-    """An engine lost an adapter and serves the base model, or another version."""
-    piece = name(model) if kind == JSON else event(model)
-    end, body = await run(OneAnswer(200, kind, piece))
+async def test_answer_of_another_model_is_not_delivered(kind, model):
+    """Guards against answers of an engine that lost an adapter.
+
+    It serves the base model, or another version, instead.
+    """
+    piece = make_answer(model) if kind == JSON else make_event(model)
+    end, body = await run(FixedAnswerTarget(200, kind, piece))
     assert end is RunEnd.WRONG_MODEL
     assert body == b""
 
 
-async def test_stream_that_begins_with_no_event_is_lost():
+async def test_stream_without_a_complete_first_event_fails():
     with pytest.raises(LinkLost):
-        await run(OneAnswer(200, EVENTS, b"data: half"))
+        await run(FixedAnswerTarget(200, EVENTS, b"data: half"))
--- a/tests/agent/test_slots.py
+++ b/tests/agent/test_slots.py
@@ -1,4 +1,4 @@
-"""Slots: what serves, or may serve, is never evicted."""
+"""An adapter that has running requests, or may have, is never evicted."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -20,7 +20,7 @@
 
 TISZA = AdapterKey(AdapterName("tisza"), Version("1"))
 KEYS = [AdapterKey(AdapterName(name), Version("1")) for name in ("a", "b", "c")]
-ONE, TWO = BootId("1"), BootId("2")
+FIRST_BOOT, SECOND_BOOT = BootId("1"), BootId("2")
 
 
 def load(table: SlotTable, key: AdapterKey) -> None:
@@ -43,8 +43,8 @@
     assert table.pin(TISZA, 1.0) is None
 
 
-def test_caller_that_left_doesnt_free_the_adapter():
-    """An adapter is evicted under a run whose caller has left the stream."""
+def test_disconnected_caller_doesnt_release_the_adapter():
+    """Guards against eviction under a run whose caller has disconnected."""
     table = SlotTable(1)
     load(table, TISZA)
     table.unpin(table.pin(TISZA, 0.0), ended=False)
@@ -56,10 +56,10 @@
     assert table.begin_unload(TISZA)
 
 
-def test_restarted_agent_pins_what_the_engine_holds():
-    """An agent restarts while its engine streams for the one before it."""
+def test_restarted_agent_pins_resident_adapters():
+    """Guards against eviction under runs of an earlier agent after an agent restart."""
     table = SlotTable(2)
-    table.begin_boot(ONE, [TISZA], 0.0)
+    table.begin_boot(FIRST_BOOT, [TISZA], 0.0)
     assert table.is_resident(TISZA)
     assert not table.begin_unload(TISZA)
     table.observe_running(frozenset())
@@ -67,18 +67,21 @@
     assert table.begin_unload(TISZA)
 
 
-def test_engine_that_restarted_voids_the_table():
-    """A load ends just as the engine restarts empty; it must not count."""
+def test_load_of_an_earlier_boot_is_ignored():
+    """Guards against counting a load that ends just as the engine restarts empty."""
     table = SlotTable(2)
-    table.begin_boot(ONE, [], 0.0)
+    table.begin_boot(FIRST_BOOT, [], 0.0)
     table.begin_load(TISZA, 0.0)
-    table.begin_boot(TWO, [], 1.0)
-    table.end_load(TISZA, ONE, True)
+    table.begin_boot(SECOND_BOOT, [], 1.0)
+    table.end_load(TISZA, FIRST_BOOT, True)
     assert not table.is_resident(TISZA)
 
 
-def test_pin_of_a_dropped_slot_doesnt_touch_its_successor():
-    """The engine lost an adapter under a running request and it is loaded again."""
+def test_pin_of_a_dropped_slot_doesnt_affect_a_later_slot():
+    """Guards against a stale pin that releases the pin of a later request.
+
+    The engine loses an adapter under a running request, and it is loaded again.
+    """
     table = SlotTable(1)
     load(table, TISZA)
     old = table.pin(TISZA, 0.0)
@@ -89,10 +92,13 @@
     assert not table.begin_unload(TISZA)
 
 
-def test_load_that_timed_out_is_found_again():
-    """A load times out at the agent and ends well at the engine."""
+def test_load_that_timed_out_is_reconciled():
+    """Guards against an occupied slot that counts as free.
+
+    A load times out at the agent and succeeds at the engine.
+    """
     table = SlotTable(1)
-    table.begin_boot(ONE, [], 0.0)
+    table.begin_boot(FIRST_BOOT, [], 0.0)
     table.reconcile([TISZA], 1.0)
     assert not table.has_free_slot()
     assert table.begin_unload(TISZA)
@@ -101,7 +107,7 @@
 
 
 class SlotMachine(RuleBasedStateMachine):
-    """Random loads, pins, evictions and restarts against a plain count of pins."""
+    """Random loads, pins, evictions and restarts, checked against a count of pins."""
 
     pins = Bundle("pins")
 
@@ -136,14 +142,18 @@
     def evict(self):
         free = [slot.key for slot in self.table.list_resident() if not slot.pins]
         for victim in free[:1]:
-            assert not self.held.get(victim), "a serving adapter was offered"
+            assert not self.held.get(victim), (
+                "an adapter with running requests was listed as unpinned"
+            )
             assert self.table.begin_unload(victim)
             self.table.end_unload(victim, self.table.boot, True)
 
     @rule(key=st.sampled_from(KEYS))
     def evict_by_name(self, key):
         if self.table.begin_unload(key):
-            assert not self.held.get(key), "a serving adapter was evicted"
+            assert not self.held.get(key), (
+                "an adapter with running requests was evicted"
+            )
             self.table.end_unload(key, self.table.boot, True)
 
     @rule()
--- a/tests/agent/test_streamtail.py
+++ b/tests/agent/test_streamtail.py
@@ -1,4 +1,4 @@
-"""Whether a stream whose connection was lost is whole."""
+"""Whether a stream whose connection was lost is complete."""
 
 import pytest
 
@@ -40,7 +40,7 @@
         ([b"data: " + b"x" * 3 * RETAINED_BYTES, b"\n\n"], b"{}", StreamEnd.UNFINISHED),
     ],
 )
-def test_stream_is_whole_once_it_says_why_it_finished(pieces, request_body, expected):
+def test_stream_is_complete_once_it_has_a_finish_reason(pieces, request_body, expected):
     tail = StreamTail()
     for piece in pieces:
         tail.add(piece)
--- a/tests/agent/test_target.py
+++ b/tests/agent/test_target.py
@@ -1,4 +1,4 @@
-"""Orders to an engine whose open connections go silent while new ones work."""
+"""Commands to an engine whose open connections stop responding while new ones work."""
 
 import asyncio
 import json
@@ -19,17 +19,19 @@
 
 
 class Engine:
-    """An engine that loads, and leaves some orders without an answer.
+    """An engine that loads an adapter and can leave commands unanswered.
 
-    :ivar listed: it lists the adapter once it was ordered.
+    :param answers: whether load commands are answered.
+    :param listed: whether the adapter is listed after a load command.
+    :ivar commands: number of commands received.
     """
 
     def __init__(self, answers: bool, listed: bool) -> None:
         self._answers = answers
         self._listed = listed
         self._loaded = False
-        self.orders = 0
-        self._for_ever = asyncio.Event()
+        self.commands = 0
+        self._never = asyncio.Event()
 
     async def serve(self, exchange) -> None:
         path = exchange.request.path
@@ -43,15 +45,15 @@
             )
             await exchange.respond(200, (), json.dumps({"data": cards}).encode())
         else:
-            self.orders += 1
+            self.commands += 1
             self._loaded = self._listed
             if not self._answers:
-                await self._for_ever.wait()
+                await self._never.wait()
             await exchange.respond(200, (), b"{}")
 
 
 @pytest.fixture
-def quick_check(monkeypatch):
+def short_check_interval(monkeypatch):
     monkeypatch.setattr(target_module, "LOAD_CHECK_INTERVAL_SECONDS", 0.05)
 
 
@@ -59,8 +61,10 @@
     ("answers", "listed", "loaded"),
     [(True, True, True), (False, True, True), (True, False, False)],
 )
-async def test_a_load_is_proved_by_the_list(quick_check, answers, listed, loaded):
-    """Guards against requests that wait for a load whose connection went silent."""
+async def test_load_is_confirmed_by_the_adapter_list(
+    short_check_interval, answers, listed, loaded
+):
+    """Guards against requests that wait for a load whose connection is dead."""
     engine = Engine(answers, listed)
     server = WebServer(engine.serve)
     endpoint = await server.start(Endpoint("127.0.0.1", 0))
@@ -73,18 +77,18 @@
             else:
                 with pytest.raises(Unavailable):
                     await loading
-        assert engine.orders == 1
+        assert engine.commands == 1
     finally:
         client.close()
         await server.stop(0.0)
 
 
 @pytest.mark.parametrize(
-    ("idle", "kept"),
+    ("idle", "reused"),
     [(IDLE_TIMEOUT_SECONDS / 2, True), (IDLE_TIMEOUT_SECONDS * 2, False)],
 )
-async def test_a_connection_is_not_kept_unused_for_long(idle, kept):
-    """Guards against requests that wait on a silent connection until their deadline."""
+async def test_idle_connection_expires(idle, reused):
+    """Guards against requests that wait on a dead connection until their deadline."""
     server = WebServer(Engine(True, True).serve)
     endpoint = await server.start(Endpoint("127.0.0.1", 0))
     clock = ManualClock()
@@ -94,7 +98,7 @@
             pass
         clock.step(idle)
         async with client.borrow(BOOT) as second:
-            assert (second is first) is kept
+            assert (second is first) is reused
     finally:
         client.close()
         await server.stop(0.0)
