--- a/src/ibishead/agent/registrar.py
+++ b/src/ibishead/agent/registrar.py
@@ -87,7 +87,7 @@
                 logger.info("registered", extra={"incarnation": answer.incarnation})
 
     def reattach(self) -> None:
-        """Register again over a new link, which tells control which link is in use."""
+        """Register again over a new link, so that control learns about the link."""
         if self._incarnations:
             self._begin_registration()
 
@@ -126,7 +126,7 @@
     async def obtain_permit(self, urgency: float) -> int:
         """Wait for a load permit and return its number.
 
-        :param urgency: rank of the load among all that wait for a permit.
+        :param urgency: the waiting load with the highest urgency is granted first.
         :raises Unavailable: no permit was granted in time.
         """
         self._last_permit += 1
