--- a/src/ibishead/agent/agent.py
+++ b/src/ibishead/agent/agent.py
@@ -47,7 +47,7 @@
         self._settings = settings
         self._subscription = Subscription(
             settings.control,
-            self.greet,
+            self.make_hello,
             clock,
             services=(settings.service,),
             changed=self._handle_catalog_change,
@@ -88,13 +88,13 @@
         """Serve the link of one entry host until the link closes."""
         await self._reception.serve(link)
 
-    async def finish(self) -> None:
+    async def drain(self) -> None:
         """Refuse new requests; return once all admitted attempts are delivered."""
         self.scheduler.begin_drain()
         # Dispatches in transit are refused as not run. If the links were closed first,
         # their outcome would be unknown to the entry hosts.
         await asyncio.sleep(MIN_DRAIN_SECONDS)
-        await self.scheduler.finish()
+        await self.scheduler.drain()
 
     async def stop(self) -> None:
         """Stop at once, without waiting for running attempts."""
@@ -105,7 +105,7 @@
         await self.scheduler.stop()
         await self._subscription.stop()
 
-    def greet(self) -> Hello:
+    def make_hello(self) -> Hello:
         """Return the hello message that this agent sends on each link."""
         return Hello(Role.AGENT, self._settings.host, self.registrar.incarnation)
 
--- a/src/ibishead/agent/main.py
+++ b/src/ibishead/agent/main.py
@@ -38,7 +38,7 @@
     # The callbacks refer to the agent created below. No peer knows the port before that
     # agent has registered it.
     server = LinkServer(
-        lambda link: agent.serve(link), lambda: agent.greet(), clock, tls=tls
+        lambda link: agent.serve(link), lambda: agent.make_hello(), clock, tls=tls
     )
     bound = await server.start(settings.links.endpoint)
     client = TargetClient(
@@ -57,7 +57,7 @@
     logger.info("agent started", extra={"address": str(bound)})
     await _wait_for_stop_or_successor(agent.registrar)
     logger.info("agent stopping")
-    await agent.finish()
+    await agent.drain()
     await server.stop()
     await agent.stop()
     await operator_server.stop(grace=1.0)
--- a/src/ibishead/agent/runner.py
+++ b/src/ibishead/agent/runner.py
@@ -65,7 +65,9 @@
         have run.
     """
     dispatch = attempt.dispatch
-    async with client.borrow(boot, fresh=not dispatch.idempotent) as connection:
+    async with client.acquire_connection(
+        boot, fresh=not dispatch.idempotent
+    ) as connection:
         headers = (*dispatch.headers, ("x-request-id", dispatch.request))
         attempt.sent = True
         answer = await connection.ask(
--- a/src/ibishead/agent/scheduler.py
+++ b/src/ibishead/agent/scheduler.py
@@ -152,7 +152,7 @@
         ]
 
     async def stop(self) -> None:
-        """Stop at once; call `finish` first for a planned stop."""
+        """Stop at once; call `drain` first for a planned stop."""
         self._loader.stop()
         for task in self._tasks:
             task.cancel()
@@ -165,7 +165,7 @@
             self.draining = True
             self.changed.set()
 
-    async def finish(self) -> None:
+    async def drain(self) -> None:
         """Drain; return once all attempts have ended and their frames are received."""
         self.begin_drain()
         while self._list_unfinished() or self._has_undelivered_frames():
--- a/src/ibishead/agent/target.py
+++ b/src/ibishead/agent/target.py
@@ -110,7 +110,7 @@
         self._idle: list[_IdleConnection] = []
 
     @contextlib.asynccontextmanager
-    async def borrow(
+    async def acquire_connection(
         self, boot: BootId | None, fresh: bool = False
     ) -> AsyncIterator[ClientConnection]:
         """Lend a connection to the target, from the pool or newly opened.
@@ -179,7 +179,7 @@
         :raises LinkLost: the engine can't be reached, or its list can't be read.
         """
         async with (
-            self.borrow(boot, True) as connection,
+            self.acquire_connection(boot, True) as connection,
             _limit_time(PROBE_TIMEOUT_SECONDS),
         ):
             answer = await connection.ask("GET", "/v1/models")
@@ -211,7 +211,7 @@
         )
         # A pooled connection may have stopped responding, and a load may take long
         async with (
-            self.borrow(boot, True) as connection,
+            self.acquire_connection(boot, True) as connection,
             _limit_time(LOAD_TIMEOUT_SECONDS),
         ):
             loading = asyncio.create_task(
@@ -247,7 +247,7 @@
         """
         command = msgspec.json.encode({"lora_name": make_lora_name(key)})
         async with (
-            self.borrow(boot, True) as connection,
+            self.acquire_connection(boot, True) as connection,
             _limit_time(LOAD_TIMEOUT_SECONDS),
         ):
             status, body = await self._post_command(
--- a/tests/agent/test_runner.py
+++ b/tests/agent/test_runner.py
@@ -27,7 +27,7 @@
         self._pieces = pieces
 
     @contextlib.asynccontextmanager
-    async def borrow(self, boot, fresh=False):
+    async def acquire_connection(self, boot, fresh=False):
         yield self
 
     async def ask(self, method, path, headers=(), body=b""):
--- a/tests/agent/test_target.py
+++ b/tests/agent/test_target.py
@@ -94,10 +94,10 @@
     clock = ManualClock()
     client = TargetClient(endpoint, True, clock)
     try:
-        async with client.borrow(BOOT) as first:
+        async with client.acquire_connection(BOOT) as first:
             pass
         clock.step(idle)
-        async with client.borrow(BOOT) as second:
+        async with client.acquire_connection(BOOT) as second:
             assert (second is first) is reused
     finally:
         client.close()
--- a/tests/proofs/targets.py
+++ b/tests/proofs/targets.py
@@ -58,7 +58,7 @@
         await self._step(self.boot)
 
     @contextlib.asynccontextmanager
-    async def borrow(self, boot, fresh=False):
+    async def acquire_connection(self, boot, fresh=False):
         actual = self.boot
         await self._step(actual)
         if boot is not None and boot != BootId(str(actual)):
--- a/tests/proofs/world.py
+++ b/tests/proofs/world.py
@@ -329,12 +329,12 @@
             slot.settings, endpoint, slot.fake, self._clock, self.network.dial
         )
         slot.agent, slot.endpoint = agent, endpoint
-        self.network.add(endpoint, slot.settings.host, agent.greet, agent.serve)
+        self.network.add(endpoint, slot.settings.host, agent.make_hello, agent.serve)
         slot.starting = asyncio.create_task(agent.start())
 
     async def _stop_agent(self, slot: Slot) -> None:
         agent = slot.agent
-        await agent.finish()
+        await agent.drain()
         self.network.remove(slot.endpoint)
         await agent.stop()
         self.network.drop_host(slot.settings.host)
--- a/tests/test_tls_path.py
+++ b/tests/test_tls_path.py
@@ -141,7 +141,7 @@
     )
     tls = make_server_context(settings.peer_tls.pair, settings.peer_tls.ca)
     links = LinkServer(
-        lambda link: agent.serve(link), lambda: agent.greet(), CLOCK, tls=tls
+        lambda link: agent.serve(link), lambda: agent.make_hello(), CLOCK, tls=tls
     )
     taken = await links.start(LOOPBACK)
     agent = Agent(settings, taken, TargetClient(endpoint, False, CLOCK), CLOCK)
