--- a/src/ibishead/agent/agent.py
+++ b/src/ibishead/agent/agent.py
@@ -7,7 +7,7 @@
 from ibishead.agent.gate import GateState
 from ibishead.agent.reception import Reception
 from ibishead.agent.registrar import ControlRegistrar
-from ibishead.agent.scheduler import Scheduler, TargetCapacity
+from ibishead.agent.scheduler import Scheduler, TargetConfig
 from ibishead.agent.target import TargetClient
 from ibishead.clock import Clock
 from ibishead.documents import Unconfirmed
@@ -59,16 +59,14 @@
             self._subscription, _make_registration(settings, endpoint), clock
         )
         is_engine = settings.kind is TargetKind.ENGINE
-        capacity = TargetCapacity(
+        config = TargetConfig(
             settings.target,
             is_engine,
             settings.batch,
             settings.slots,
             settings.failure_backoff.total_seconds(),
         )
-        self.scheduler = Scheduler(
-            capacity, client, self.registrar, clock, self.metrics
-        )
+        self.scheduler = Scheduler(config, client, self.registrar, clock, self.metrics)
         self._reception = Reception(
             self.scheduler,
             self.read_gate_state,
--- a/src/ibishead/agent/gate.py
+++ b/src/ibishead/agent/gate.py
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class Rejected:
-    """The attempt has not run and never will.
+    """The attempt has not run here and never will.
 
     :param retry_after: seconds after which the caller may retry.
     :param document: latest document, sent to an entry host that used an older one.
@@ -113,7 +113,7 @@
         self._record(key, False)
 
     def add_tombstone(self, key: AttemptKey) -> bool:
-        """Prevent an attempt that has not arrived from ever running here.
+        """Prevent an attempt that was not admitted from ever running here.
 
         :returns: False if the attempt was admitted before, so that it may have run.
         """
--- a/src/ibishead/agent/scheduler.py
+++ b/src/ibishead/agent/scheduler.py
@@ -26,7 +26,7 @@
 from ibishead.messages import LoadReport, Outcome
 from ibishead.metrics import Measure, Metrics
 
-__all__ = ["Registrar", "Scheduler", "TargetCapacity"]
+__all__ = ["Registrar", "Scheduler", "TargetConfig"]
 
 logger = logging.getLogger(__name__)
 
@@ -66,8 +66,8 @@
 
 
 @dataclass(frozen=True)
-class TargetCapacity:
-    """Capacity of a target.
+class TargetConfig:
+    """Configuration of a target, as the scheduler needs it.
 
     :param is_engine: the target holds adapters; otherwise it is a plain service.
     :param batch: maximum number of requests that it runs concurrently.
@@ -100,7 +100,7 @@
 
     def __init__(
         self,
-        capacity: TargetCapacity,
+        config: TargetConfig,
         client: TargetClient,
         registrar: Registrar,
         clock: Clock,
@@ -110,25 +110,25 @@
         self.attempts = AttemptTable()
         self.draining = False
         self.changed = asyncio.Event()
-        self._slots = SlotTable(capacity.slots)
+        self._slots = SlotTable(config.slots)
         self._loader = Loader(
             self._slots,
             client,
             registrar,
             clock,
             self._notify_change,
-            LoadBackoff(capacity.failure_backoff),
+            LoadBackoff(config.failure_backoff),
         )
         self._watcher = TargetWatcher(
             client,
             self._slots,
             self._loader,
-            capacity.is_engine,
+            config.is_engine,
             clock,
             self._notify_change,
             self._check_runs,
         )
-        self._capacity = capacity
+        self._config = config
         self._client = client
         self._registrar = registrar
         self._clock = clock
@@ -166,7 +166,7 @@
             self.changed.set()
 
     async def drain(self) -> None:
-        """Drain; return once all attempts have ended and their frames are received."""
+        """Admit no new attempts; return once all have ended and are delivered."""
         self.begin_drain()
         while self._list_unfinished() or self._has_undelivered_frames():
             await asyncio.sleep(TICK_SECONDS)
@@ -196,11 +196,11 @@
         running = self.attempts.list_in(AttemptState.RUNNING)
         queued = self.attempts.list_in(AttemptState.QUEUED)
         return LoadReport(
-            target=self._capacity.target,
+            target=self._config.target,
             running=len(running),
             queued=len(queued),
-            slots=self._capacity.slots,
-            batch=self._capacity.batch,
+            slots=self._config.slots,
+            batch=self._config.batch,
             resident=self._list_digests(SlotState.RESIDENT),
             loading=self._list_digests(SlotState.LOADING),
             seconds_per_request=self._seconds_per_request,
@@ -227,7 +227,7 @@
         self._refuse_unservable(now)
         if self.healthy:
             self._start_runs(now)
-            if self._capacity.is_engine:
+            if self._config.is_engine:
                 self._loader.start_loads(self.attempts.list_in(AttemptState.QUEUED))
         for attempt in self.attempts.remove_expired(now):
             if attempt.refusal is not None:
@@ -266,7 +266,7 @@
             for a in self.attempts.list_in(AttemptState.QUEUED)
         }
         views = [self._make_view(attempt, now) for attempt in queued.values()]
-        while views and sum(batch.values()) < self._capacity.batch:
+        while views and sum(batch.values()) < self._config.batch:
             chosen = choose_next(
                 views,
                 dict(batch),
@@ -291,7 +291,7 @@
     def _start_run(
         self, attempt: Attempt, pin: Pin | None, size: int, now: float
     ) -> None:
-        self._observe(attempt, Measure.BATCH_FILL, size / self._capacity.batch)
+        self._observe(attempt, Measure.BATCH_FILL, size / self._config.batch)
         self._fair_queue.observe_run(attempt.dispatch.team, now)
         attempt.state = AttemptState.RUNNING
         attempt.task = asyncio.create_task(self._run(attempt, pin, now))
@@ -324,11 +324,11 @@
         waited = (now - ready_at, ready_at - attempt.arrived)
         self._observe(attempt, Measure.WAIT, waited[0])
         self._observe(attempt, Measure.LOAD_STALL, waited[1])
-        boot = self._slots.boot if self._capacity.is_engine else None
+        boot = self._slots.boot if self._config.is_engine else None
         ended = False
         try:
             end = await run_attempt(
-                attempt, self._client, boot, waited, self._capacity.target
+                attempt, self._client, boot, waited, self._config.target
             )
             ended = True
             await self._handle_run_end(attempt, end)
@@ -455,7 +455,7 @@
         queued = len(self.attempts.list_in(AttemptState.QUEUED))
         return max(
             RETRY_AFTER_SECONDS,
-            queued * self._seconds_per_request / self._capacity.batch,
+            queued * self._seconds_per_request / self._config.batch,
         )
 
     def _notify_change(self) -> None:
