--- a/src/ibishead/agent/scheduler.py
+++ b/src/ibishead/agent/scheduler.py
@@ -1,6 +1,7 @@
-"""Decides, turn by turn, which of the waiting attempts the target runs.
+"""Scheduling of queued attempts: which of them the target runs, and when.
 
-The choice itself is in `ibishead.decisions`; here it meets the attempts and slots.
+The choice itself is made in `ibishead.decisions`; this module applies it to attempts
+and adapter slots.
 """
 
 import asyncio
@@ -25,47 +26,53 @@
 from ibishead.messages import LoadReport, Outcome
 from ibishead.metrics import Measure, Metrics
 
-__all__ = ["Registrar", "Scheduler", "TargetShape"]
+__all__ = ["Registrar", "Scheduler", "TargetConfig"]
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between turns while nothing happens, for deadlines to be seen.
-TICK = 0.1
+#: Maximum seconds between scheduling iterations, so that deadlines are checked when no
+#: event occurs.
+TICK_SECONDS = 0.1
 
-#: Seconds that a target may be unreachable before what waits for it is handed back.
-UNHEALTHY_PATIENCE = 1.0
+#: Seconds for which a target may be unreachable before its queued attempts are refused.
+UNHEALTHY_GRACE_SECONDS = 1.0
 
-#: How often one attempt may find the engine without its adapter.
+#: Number of times that one attempt is queued again after the engine lacked its adapter
+#: or the target had restarted.
 MAX_REQUEUES = 3
 
-#: Weight of the newest run in the mean time of one run.
-SMOOTHING = 0.1
+#: Weight of the latest run in the moving average of run times.
+SMOOTHING_FACTOR = 0.1
 
-#: Seconds that a run takes while none has been measured.
-FIRST_GUESS = 0.5
+#: Seconds assumed for a run until one has been measured.
+INITIAL_RUN_SECONDS = 0.5
 
-REFUSED_RETRY_AFTER = 1.0
+#: Minimum seconds after which a refused caller may retry.
+RETRY_AFTER_SECONDS = 1.0
 
-#: Looks in a row at which an engine must not show a run. Engines report late, and
-#: a request may lie unread in their socket at the first.
-MAX_ABSENCES = 4
+#: Consecutive samples in which an engine must not show a run before it counts as
+#: unresponsive. Engines report with a delay, and a request may still be unread in the
+#: engine's socket at the first sample.
+MAX_ABSENT_SAMPLES = 4
 
-#: Seconds without a piece of a stream that has begun. Tokens are to come every few
-#: hundredths of a second, so this is a target that has stopped.
-STREAM_SILENCE = 10.0
+#: Seconds without data after which a stream that has begun counts as unresponsive.
+#: Tokens are due every few hundredths of a second, so such a target has stopped.
+STREAM_IDLE_SECONDS = 10.0
 
-#: Seconds after its deadline in which an answer may still begin. Its caller has been
-#: told, but who asks again with the same key gets what is recorded.
-LATE_ANSWER_TIME = 10.0
+#: Seconds after its deadline within which an answer may still begin. The caller has
+#: been answered by then, but a retry with the same idempotency key gets the recorded
+#: outcome.
+LATE_ANSWER_SECONDS = 10.0
 
 
 @dataclass(frozen=True)
-class TargetShape:
-    """What a target can do at once.
+class TargetConfig:
+    """Configuration of a target, as the scheduler needs it.
 
-    :param is_engine: it holds adapters; otherwise it is a plain service.
-    :param batch: requests that it runs at once.
-    :param failure_backoff: seconds before a load that failed once is tried again.
+    :param is_engine: the target holds adapters; otherwise it is a plain service.
+    :param batch: maximum number of requests that it runs concurrently.
+    :param slots: number of its adapter slots.
+    :param failure_backoff: seconds before a load that failed once is retried.
     """
 
     target: TargetId
@@ -76,18 +83,24 @@
 
 
 class Registrar(LoadAuthority, Protocol):
-    """What a scheduler asks of the control quorum."""
+    """Interface to the control quorum that a scheduler needs."""
 
-    async def record_end(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Record how a claimed request ended."""
+    async def record_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Record the outcome of a claimed request."""
 
 
 class Scheduler:
-    """Runs attempts at one target."""
+    """Queues attempts and runs them at one target.
+
+    :ivar gate: admission control for dispatches.
+    :ivar attempts: attempts whose frames may still be requested.
+    :ivar draining: no new attempts are admitted.
+    :ivar changed: set when the load has changed since it was last reported.
+    """
 
     def __init__(
         self,
-        shape: TargetShape,
+        config: TargetConfig,
         client: TargetClient,
         registrar: Registrar,
         clock: Clock,
@@ -97,49 +110,49 @@
         self.attempts = AttemptTable()
         self.draining = False
         self.changed = asyncio.Event()
-        self._slots = SlotTable(shape.slots)
+        self._slots = SlotTable(config.slots)
         self._loader = Loader(
             self._slots,
             client,
             registrar,
             clock,
-            self._note_change,
-            LoadBackoff(shape.failure_backoff),
+            self._notify_change,
+            LoadBackoff(config.failure_backoff),
         )
         self._watcher = TargetWatcher(
             client,
             self._slots,
             self._loader,
-            shape.is_engine,
+            config.is_engine,
             clock,
-            self._note_change,
-            self._review_runs,
+            self._notify_change,
+            self._check_runs,
         )
-        self._shape = shape
+        self._config = config
         self._client = client
         self._registrar = registrar
         self._clock = clock
         self._metrics = metrics or Metrics("agent")
         self._wake = asyncio.Event()
-        self._fair = FairQueue()
-        self._seconds_per_request = FIRST_GUESS
-        self._shortest = float("inf")
+        self._fair_queue = FairQueue()
+        self._seconds_per_request = INITIAL_RUN_SECONDS
+        self._shortest_seconds = float("inf")
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def healthy(self) -> bool:
-        """Whether the target answers."""
+        """Whether the target responds to probes."""
         return self._watcher.healthy
 
     def start(self) -> None:
-        """Begin to run what is submitted."""
+        """Start scheduling attempts and probing the target."""
         self._tasks = [
-            asyncio.create_task(self._schedule_for_ever()),
-            asyncio.create_task(self._watcher.watch_for_ever()),
+            asyncio.create_task(self._run_scheduler()),
+            asyncio.create_task(self._watcher.watch()),
         ]
 
     async def stop(self) -> None:
-        """Stop at once; call `finish` first for a planned stop."""
+        """Stop at once; call `drain` first for a planned stop."""
         self._loader.stop()
         for task in self._tasks:
             task.cancel()
@@ -147,94 +160,100 @@
         self._client.close()
 
     def begin_drain(self) -> None:
-        """Take nothing new from now on, and say so in every report."""
+        """Admit no new attempts from now on, and announce it in all load reports."""
         if not self.draining:
             self.draining = True
             self.changed.set()
 
-    async def finish(self) -> None:
-        """Return once every attempt has ended and its frames are delivered."""
+    async def drain(self) -> None:
+        """Admit no new attempts; return once all have ended and are delivered."""
         self.begin_drain()
-        while self._list_open() or self._owes_frames():
-            await asyncio.sleep(TICK)
+        while self._list_unfinished() or self._has_undelivered_frames():
+            await asyncio.sleep(TICK_SECONDS)
 
     def submit(self, attempt: Attempt) -> None:
-        """Queue an attempt that the gate has taken in."""
+        """Queue an attempt that the gate has admitted."""
         self.attempts.add(attempt)
         if attempt.adapter is not None:
             self._loader.observe_use(attempt.adapter)
         self._wake.set()
 
     def cancel(self, attempt: Attempt) -> None:
-        """End an attempt whose caller has left, where that does no harm."""
+        """Cancel an attempt whose caller has disconnected.
+
+        A running attempt is cancelled only if its request is idempotent.
+        """
         now = self._clock.monotonic()
         if attempt.state is AttemptState.QUEUED:
-            attempt.refuse(ErrorCode.CANCELLED, "the caller left", now, 0.0)
+            attempt.refuse(ErrorCode.CANCELLED, "the caller disconnected", now, 0.0)
         elif attempt.dispatch.idempotent and attempt.task is not None:
-            # A non-idempotent run goes on: its outcome must be on record
+            # A non-idempotent run continues, since its outcome must be recorded
             attempt.task.cancel()
         self._wake.set()
 
     def report(self) -> LoadReport:
-        """Return the load as it is now."""
+        """Return the current load."""
         running = self.attempts.list_in(AttemptState.RUNNING)
         queued = self.attempts.list_in(AttemptState.QUEUED)
         return LoadReport(
-            target=self._shape.target,
+            target=self._config.target,
             running=len(running),
             queued=len(queued),
-            slots=self._shape.slots,
-            batch=self._shape.batch,
+            slots=self._config.slots,
+            batch=self._config.batch,
             resident=self._list_digests(SlotState.RESIDENT),
             loading=self._list_digests(SlotState.LOADING),
             seconds_per_request=self._seconds_per_request,
             draining=self.draining,
             healthy=self.healthy,
             seconds_per_load=self._loader.seconds_per_load,
-            wishes=self._loader.count_wishes(),
-            free_slots=max(self._loader.count_room(), 0),
-            coldest=self._loader.find_coldest(),
+            wishes=self._loader.count_pending_loads(),
+            free_slots=max(self._loader.count_available_slots(), 0),
+            coldest=self._loader.estimate_coldest_reuse(),
             stalled=sum(not self._is_ready(attempt) for attempt in queued),
         )
 
-    # Turns ------------------------------------------------------------------
+    # Scheduling -------------------------------------------------------------
 
-    async def _schedule_for_ever(self) -> None:
+    async def _run_scheduler(self) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TICK):
+                async with asyncio.timeout(TICK_SECONDS):
                     await self._wake.wait()
             self._wake.clear()
-            self._take_turn(self._clock.monotonic())
+            self._schedule(self._clock.monotonic())
 
-    def _take_turn(self, now: float) -> None:
-        self._hand_back(now)
+    def _schedule(self, now: float) -> None:
+        self._refuse_unservable(now)
         if self.healthy:
             self._start_runs(now)
-            if self._shape.is_engine:
+            if self._config.is_engine:
                 self._loader.start_loads(self.attempts.list_in(AttemptState.QUEUED))
-        for attempt in self.attempts.forget(now):
+        for attempt in self.attempts.remove_expired(now):
             if attempt.refusal is not None:
-                self.gate.give_up(attempt.key)
+                self.gate.revoke_admission(attempt.key)
 
-    def _hand_back(self, now: float) -> None:
-        # What can't be run here in time is worth more elsewhere, or refused at
-        # once, than held until its deadline.
+    def _refuse_unservable(self, now: float) -> None:
+        # Attempts that can't run here in time are refused at once, so that they can run
+        # at another target or be retried, rather than held until their deadline.
         queued = {a.key: a for a in self.attempts.list_in(AttemptState.QUEUED)}
-        lost = self._watcher.measure_absence() > UNHEALTHY_PATIENCE
-        views = [self._view(attempt, now) for attempt in queued.values()]
-        late = choose_late(views, now, self._shortest_run())
-        names = {(item.request, item.attempt) for item in late}
+        unreachable = self._watcher.measure_downtime() > UNHEALTHY_GRACE_SECONDS
+        views = [self._make_view(attempt, now) for attempt in queued.values()]
+        late = choose_late(views, now, self._estimate_shortest_run())
+        late_keys = {(item.request, item.attempt) for item in late}
         for key, attempt in queued.items():
-            if (key.request, key.attempt) in names:
+            if (key.request, key.attempt) in late_keys:
                 code, reason = (
                     ErrorCode.DEADLINE_EXCEEDED,
-                    "it can no longer end before its deadline here",
+                    "too late to complete before the deadline at this target",
+                )
+            elif unreachable:
+                code, reason = ErrorCode.TARGET_FAILED, "the target doesn't respond"
+            elif attempt.adapter and self._loader.should_redirect(attempt.adapter):
+                code, reason = (
+                    ErrorCode.LOAD_FAILED,
+                    "the adapter fails to load at this target",
                 )
-            elif lost:
-                code, reason = ErrorCode.TARGET_FAILED, "the target doesn't answer"
-            elif attempt.adapter and self._loader.is_hopeless(attempt.adapter):
-                code, reason = ErrorCode.LOAD_FAILED, "the adapter fails to load here"
             else:
                 continue
             attempt.refuse(code, reason, now, self._estimate_wait())
@@ -246,13 +265,13 @@
             (a.dispatch.request, a.dispatch.attempt): a
             for a in self.attempts.list_in(AttemptState.QUEUED)
         }
-        views = [self._view(attempt, now) for attempt in queued.values()]
-        while views and sum(batch.values()) < self._shape.batch:
+        views = [self._make_view(attempt, now) for attempt in queued.values()]
+        while views and sum(batch.values()) < self._config.batch:
             chosen = choose_next(
                 views,
                 dict(batch),
                 now,
-                used=self._fair.read(now),
+                used=self._fair_queue.read(now),
                 stall_weight=queued[
                     views[0].request, views[0].attempt
                 ].dispatch.stall_weight,
@@ -272,13 +291,13 @@
     def _start_run(
         self, attempt: Attempt, pin: Pin | None, size: int, now: float
     ) -> None:
-        self._observe(attempt, Measure.BATCH_FILL, size / self._shape.batch)
-        self._fair.observe_run(attempt.dispatch.team, now)
+        self._observe(attempt, Measure.BATCH_FILL, size / self._config.batch)
+        self._fair_queue.observe_run(attempt.dispatch.team, now)
         attempt.state = AttemptState.RUNNING
         attempt.task = asyncio.create_task(self._run(attempt, pin, now))
         self.changed.set()
 
-    def _view(self, attempt: Attempt, now: float) -> Waiting:
+    def _make_view(self, attempt: Attempt, now: float) -> Waiting:
         ready = self._is_ready(attempt)
         if ready and attempt.ready_at is None:
             attempt.ready_at = now
@@ -301,76 +320,82 @@
 
     async def _run(self, attempt: Attempt, pin: Pin | None, now: float) -> None:
         ready_at = attempt.ready_at if attempt.ready_at is not None else now
-        attempt.started = attempt.quiet_since = now
+        attempt.started = attempt.last_progress = now
         waited = (now - ready_at, ready_at - attempt.arrived)
         self._observe(attempt, Measure.WAIT, waited[0])
         self._observe(attempt, Measure.LOAD_STALL, waited[1])
-        boot = self._slots.boot if self._shape.is_engine else None
+        boot = self._slots.boot if self._config.is_engine else None
         ended = False
         try:
             end = await run_attempt(
-                attempt, self._client, boot, waited, self._shape.target
+                attempt, self._client, boot, waited, self._config.target
             )
             ended = True
-            await self._settle(attempt, end)
+            await self._handle_run_end(attempt, end)
         except TargetRestarted:
             ended = True
-            self._watcher.suspect()
+            self._watcher.mark_unhealthy()
             self._requeue(attempt, "the target restarted")
         except asyncio.CancelledError:
-            if attempt.silent:
-                await self._doubt(attempt, "the connection to the target went silent")
+            if attempt.unresponsive:
+                await self._end_unconfirmed(
+                    attempt, "the connection to the target stopped responding"
+                )
             else:
-                reason = "the caller left"
+                reason = "the caller disconnected"
                 self._end(attempt, Outcome.UNKNOWN, ErrorCode.CANCELLED, reason)
         except IbisheadError as error:
             ended = not attempt.sent
-            await self._fail(attempt, error)
+            await self._handle_error(attempt, error)
         finally:
             if pin is not None:
                 self._slots.unpin(pin, ended)
-            self._note_change()
+            self._notify_change()
 
     def _observe(self, attempt: Attempt, measure: Measure, value: float) -> None:
         dispatch = attempt.dispatch
         self._metrics.observe(measure, dispatch.team, dispatch.request_class, value)
 
-    async def _settle(self, attempt: Attempt, end: RunEnd) -> None:
+    async def _handle_run_end(self, attempt: Attempt, end: RunEnd) -> None:
         match end:
             case RunEnd.COMPLETED:
-                self._learn_duration(attempt)
-                await self._registrar.record_end(attempt, Outcome.COMPLETED)
+                self._record_duration(attempt)
+                await self._registrar.record_outcome(attempt, Outcome.COMPLETED)
                 self._end(attempt, Outcome.COMPLETED)
             case RunEnd.ADAPTER_MISSING:
-                # The engine said itself that it ran nothing
+                # The engine's answer states that it ran nothing
                 if attempt.adapter is not None:
                     self._slots.drop(attempt.adapter)
-                self._requeue(attempt, "the engine doesn't hold the adapter")
+                self._requeue(attempt, "the engine has not loaded the adapter")
             case RunEnd.WRONG_MODEL:
-                self._watcher.suspect()
+                self._watcher.mark_unhealthy()
                 self._slots.begin_boot(BootId(""), (), self._clock.monotonic())
-                await self._doubt(attempt, "the engine answered by another model")
+                await self._end_unconfirmed(
+                    attempt, "the answer names another model than the one requested"
+                )
             case RunEnd.FAILED:
-                await self._doubt(attempt, "the engine failed on the request")
+                await self._end_unconfirmed(
+                    attempt, "the engine returned a server error"
+                )
 
-    async def _fail(self, attempt: Attempt, error: IbisheadError) -> None:
+    async def _handle_error(self, attempt: Attempt, error: IbisheadError) -> None:
         if attempt.sent:
-            await self._doubt(attempt, error.message)
+            await self._end_unconfirmed(attempt, error.message)
         else:
             now = self._clock.monotonic()
             attempt.refuse(
-                ErrorCode.TARGET_FAILED, error.message, now, REFUSED_RETRY_AFTER
+                ErrorCode.TARGET_FAILED, error.message, now, RETRY_AFTER_SECONDS
             )
 
-    async def _doubt(self, attempt: Attempt, reason: str) -> None:
+    async def _end_unconfirmed(self, attempt: Attempt, reason: str) -> None:
         if attempt.finish_stream():
             logger.info(
-                "stream completed without its connection",
+                "stream completed after its connection was lost",
                 extra={"request": attempt.dispatch.request, "reason": reason},
             )
-            await self._settle(attempt, RunEnd.COMPLETED)
+            await self._handle_run_end(attempt, RunEnd.COMPLETED)
             return
-        await self._registrar.record_end(attempt, Outcome.UNKNOWN)
+        await self._registrar.record_outcome(attempt, Outcome.UNKNOWN)
         self._end(attempt, Outcome.UNKNOWN, ErrorCode.TARGET_FAILED, reason)
 
     def _end(
@@ -383,42 +408,44 @@
         attempt.emit_end(outcome, self._clock.monotonic(), code, reason)
 
     def _requeue(self, attempt: Attempt, reason: str) -> None:
-        attempt.requeued += 1
+        attempt.requeue_count += 1
         attempt.sent = False
         attempt.ready_at = None
-        if attempt.requeued > MAX_REQUEUES:
+        if attempt.requeue_count > MAX_REQUEUES:
             now = self._clock.monotonic()
-            attempt.refuse(ErrorCode.LOAD_FAILED, reason, now, REFUSED_RETRY_AFTER)
+            attempt.refuse(ErrorCode.LOAD_FAILED, reason, now, RETRY_AFTER_SECONDS)
         else:
             attempt.state = AttemptState.QUEUED
 
-    def _learn_duration(self, attempt: Attempt) -> None:
-        took = self._clock.monotonic() - attempt.started
-        self._shortest = min(self._shortest, took)
-        self._seconds_per_request += SMOOTHING * (took - self._seconds_per_request)
+    def _record_duration(self, attempt: Attempt) -> None:
+        elapsed = self._clock.monotonic() - attempt.started
+        self._shortest_seconds = min(self._shortest_seconds, elapsed)
+        self._seconds_per_request += SMOOTHING_FACTOR * (
+            elapsed - self._seconds_per_request
+        )
 
-    def _review_runs(self, busy: frozenset[AdapterKey]) -> None:
+    def _check_runs(self, busy: frozenset[AdapterKey]) -> None:
         now = self._clock.monotonic()
         for attempt in self.attempts.list_in(AttemptState.RUNNING):
-            if attempt.sent and attempt.task is not None and not attempt.silent:
-                attempt.silent = _is_silent(attempt, busy, now)
-                if attempt.silent:
+            if attempt.sent and attempt.task is not None and not attempt.unresponsive:
+                attempt.unresponsive = _is_unresponsive(attempt, busy, now)
+                if attempt.unresponsive:
                     attempt.task.cancel()
-                    # What was opened before may have gone silent as well
+                    # Idle connections opened before may be unresponsive as well
                     self._client.close()
 
-    def _shortest_run(self) -> float:
-        # The shortest run seen, not the mean: a short request among long ones may
-        # well end in time, and refusing it would cost its caller an answer.
-        return 0.0 if self._shortest == float("inf") else self._shortest
+    def _estimate_shortest_run(self) -> float:
+        # The shortest measured run is used, not the mean: a short request among long
+        # ones may well end in time, and refusing it would lose its answer.
+        return 0.0 if self._shortest_seconds == float("inf") else self._shortest_seconds
 
-    def _list_open(self) -> list[Attempt]:
+    def _list_unfinished(self) -> list[Attempt]:
         return self.attempts.list_in(AttemptState.QUEUED, AttemptState.RUNNING)
 
     def _list_digests(self, state: SlotState) -> tuple[int, ...]:
         return tuple(key.digest for key in self._slots.list_keys(state))
 
-    def _owes_frames(self) -> bool:
+    def _has_undelivered_frames(self) -> bool:
         return any(
             attempt.watchers and not attempt.is_acknowledged
             for attempt in self.attempts.list_in(AttemptState.ENDED)
@@ -427,34 +454,34 @@
     def _estimate_wait(self) -> float:
         queued = len(self.attempts.list_in(AttemptState.QUEUED))
         return max(
-            REFUSED_RETRY_AFTER,
-            queued * self._seconds_per_request / self._shape.batch,
+            RETRY_AFTER_SECONDS,
+            queued * self._seconds_per_request / self._config.batch,
         )
 
-    def _note_change(self) -> None:
+    def _notify_change(self) -> None:
         self.changed.set()
         self._wake.set()
 
 
-def _is_silent(attempt: Attempt, busy: frozenset[AdapterKey], now: float) -> bool:
-    # Failure: something between agent and target loses track of an open connection.
-    # Nothing comes and nothing is closed, so the run would hold its slot and its
-    # caller until the deadline. The engine, asked over a new connection, shows that
-    # it runs nothing with the adapter; or a stream that had begun has stopped.
-    shown = attempt.buffer.next_sequence
-    if shown != attempt.shown or attempt.buffer.full:
-        attempt.shown = shown
-        attempt.quiet_since = now
-        attempt.absences = 0
+def _is_unresponsive(attempt: Attempt, busy: frozenset[AdapterKey], now: float) -> bool:
+    # Failure: a device on the network path loses the state of an open connection. No
+    # data arrives and the connection is not closed, so the run would occupy its slot
+    # and block its caller until the deadline. Two signs show it: samples taken over new
+    # connections show no run with the adapter, or a stream that had begun has stopped.
+    frames = attempt.buffer.next_sequence
+    if frames != attempt.frames_seen or attempt.buffer.full:
+        attempt.frames_seen = frames
+        attempt.last_progress = now
+        attempt.absent_samples = 0
     elif attempt.adapter is None or attempt.adapter in busy:
-        attempt.absences = 0
+        attempt.absent_samples = 0
     else:
-        attempt.absences += 1
-    stopped = shown > 0 and now - attempt.quiet_since > STREAM_SILENCE
-    # A service without a list of its runs shows nothing; a run without an answer would
-    # hold its place in the batch for ever.
-    overdue = shown == 0 and now - attempt.deadline > LATE_ANSWER_TIME
-    return stopped or overdue or attempt.absences >= MAX_ABSENCES
+        attempt.absent_samples += 1
+    stream_idle = frames > 0 and now - attempt.last_progress > STREAM_IDLE_SECONDS
+    # A plain service does not list its runs, so a run without an answer would occupy
+    # its place in the batch forever. It is cancelled some time after its deadline.
+    overdue = frames == 0 and now - attempt.deadline > LATE_ANSWER_SECONDS
+    return stream_idle or overdue or attempt.absent_samples >= MAX_ABSENT_SAMPLES
 
 
 def _find_digest(attempt: Attempt) -> int:
