--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -149,31 +149,31 @@
     Guard(
         "a request that nobody waits for is reset",
         "gateway/connection.py",
-        "            if self._asking:\n                reset",
+        "            if self._in_exchange:\n                reset",
         "            if False:\n                reset",
         (
             "tests/gateway/test_connection.py"
-            "::test_a_target_sees_that_nobody_waits_for_a_request_any_more",
+            "::test_an_abandoned_request_resets_the_connection",
         ),
     ),
     Guard(
         "a host that stands still is passed over",
-        "gateway/book.py",
-        "            or (mute and not self.is_alive(notes, now)),\n",
-        "            or False,\n",
+        "gateway/tracker.py",
+        "(steward_unresponsive and not self.is_responsive(stats, now)),\n",
+        "False,\n",
         (
-            "tests/gateway/test_book.py"
-            "::test_an_engine_whose_steward_is_mute_counts_while_it_brings_events",
+            "tests/gateway/test_tracker.py"
+            "::test_an_engine_with_an_unresponsive_steward_counts_while_it_sends_data",
         ),
     ),
     Guard(
         "nothing is sent to a host that stands still",
         "gateway/choosing.py",
-        "adapter.resident and self._seems_well(target)",
-        "adapter.resident",
+        "and adapter.resident\n            and self._is_engine_responsive(target)",
+        "and adapter.resident",
         (
             "tests/gateway/test_pipeline.py"
-            "::test_who_finds_only_a_host_that_stands_still_is_refused_at_once",
+            "::test_a_request_is_refused_if_the_only_host_is_frozen",
         ),
     ),
     Guard(
--- a/src/ibishead/gateway/__init__.py
+++ b/src/ibishead/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: takes callers' requests, chooses targets, relays whole answers."""
+"""Gateway: accepts HTTP requests, selects a target for each and relays its response."""
--- a/src/ibishead/gateway/calls.py
+++ b/src/ibishead/gateway/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request and a target's answer, freed of the protocols that carry them."""
+"""Protocol-independent representation of callers' requests and targets' responses."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -22,7 +22,10 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A leading part of a prompt; equal names mean equal tokens."""
+    """A leading part of a prompt; parts with equal names have equal tokens.
+
+    :param tokens: length in tokens.
+    """
 
     name: str
     tokens: int
@@ -30,14 +33,16 @@
 
 @dataclass(frozen=True)
 class Call:
-    """One attempt of a caller.
+    """One request as received from a caller.
 
-    :param headers: those that go on to the target.
-    :param patience: seconds that the caller waits, none where it doesn't say.
+    :param target: HTTP request target, that is path and query.
+    :param headers: headers that are forwarded to the target.
+    :param patience: seconds until the caller's deadline, or ``None`` if it set none.
+    :param model: empty if the request names no model.
     :param adapter: empty for the base model.
-    :param prompt_tokens: length of the prompt.
-    :param answer_tokens: most tokens of the answer.
-    :param resume_after: the last event that the caller already has.
+    :param prompt_tokens: length of the prompt in tokens.
+    :param answer_tokens: maximum length of the response in tokens.
+    :param resume_after: id of the last event that the caller has received.
     """
 
     request: RequestId
@@ -57,21 +62,22 @@
 
     @property
     def weights(self) -> WeightKey | None:
-        """The adapter that is asked for, none where the base model or no model is."""
+        """The requested adapter, or ``None`` for the base model or no model."""
         return WeightKey(self.model, self.adapter) if self.adapter else None
 
     @property
     def engine_key(self) -> WeightKey | None:
-        """What an engine has to hold for it, none where no model is asked for."""
+        """The weights that an engine needs, or ``None`` if no model is requested."""
         return WeightKey(self.model, self.adapter) if self.model else None
 
 
 @dataclass(frozen=True)
 class Sending:
-    """How a call goes to one target.
+    """Parameters of one send of a call to a target.
 
-    :param remaining: seconds left until the answer is of no use.
-    :param rank: urgency, 0 first.
+    :param remaining: seconds until the request's deadline.
+    :param rank: priority; 0 is the most urgent.
+    :param resume_after: id of the last event that was relayed to the caller.
     """
 
     target: TargetId
@@ -82,7 +88,12 @@
 
 @dataclass(frozen=True)
 class TargetLoadTold:
-    """The load that a target tells with an answer."""
+    """Load that a target reports in the headers of a response.
+
+    :param running: requests being processed.
+    :param waiting: requests in the queue.
+    :param slots: requests that the target processes concurrently.
+    """
 
     running: int
     waiting: int
@@ -91,16 +102,19 @@
 
 @dataclass(frozen=True)
 class TargetHead:
-    """Status and headers of a target's answer.
-
-    :param headers: those that go back to the caller.
-    :param not_run: the target says that it didn't and won't run the request.
-    :param genuine: it bears the target's mark and the request's own id.
-    :param misdirected: the target is another one, or lacks what was asked for.
-    :param encoded: the body isn't in the plain form that was asked for.
-    :param idle_time: seconds for which the target keeps an idle connection, if told.
-    :param rate_limit: requests a second that the target takes from all callers
-        together; none where it names no limit.
+    """Status and headers of a target's response.
+
+    :param headers: headers that are relayed to the caller.
+    :param not_run: the target states that it did not and will not run the request.
+    :param genuine: the response carries the target's stamp and the id of this request,
+        so it is from the target itself and belongs to this request.
+    :param misdirected: the request reached a different target, or one that lacks the
+        requested weights.
+    :param encoded: the body has a content encoding, although none was requested.
+    :param idle_time: seconds for which the target keeps an idle connection open, or
+        ``None`` if it names none.
+    :param rate_limit: requests per second that the target accepts from all callers
+        together, or ``None`` if it names no limit.
     """
 
     status: int
@@ -115,36 +129,36 @@
 
     @property
     def success(self) -> bool:
-        """Whether the target says that it has done what was asked."""
+        """Whether the status code reports success (2xx)."""
         return 200 <= self.status < 300
 
 
 class CallerDialect(Protocol):
-    """The protocol that callers speak."""
+    """Parses and formats messages of the callers' protocol."""
 
     def read_call(self, request: WebRequest) -> Call:
-        """Return the call in a request.
+        """Parse a request.
 
-        :raises InvalidInput: it can't be understood.
+        :raises InvalidInput: the request is malformed.
         """
 
     def find_id(self, request: WebRequest) -> RequestId | None:
-        """Return the caller's name for a request, if it can be read."""
+        """Return the request id set by the caller, or ``None`` if there is none."""
 
     def show_error(
         self, error: IbisheadError, request: WebRequest
     ) -> tuple[int, Headers, bytes]:
-        """Return status, headers and body that tell a caller of an error."""
+        """Return the status, headers and body of an error response."""
 
     def is_ready_question(self, request: WebRequest) -> bool:
-        """Return whether the balancer asks for readiness."""
+        """Return whether a request is a readiness probe of the load balancer."""
 
 
 class TargetDialect(Protocol):
-    """The protocol that targets speak."""
+    """Formats and parses messages of the targets' protocol."""
 
     def make_headers(self, call: Call, sending: Sending) -> Headers:
-        """Return the headers with which a call goes to a target."""
+        """Return the request headers for one send of a call."""
 
     def read_head(self, call: Call, status: int, headers: Headers) -> TargetHead:
-        """Return what status and headers of an answer mean."""
+        """Parse the status and headers of a response."""
--- a/src/ibishead/gateway/choosing.py
+++ b/src/ibishead/gateway/choosing.py
@@ -1,7 +1,8 @@
-"""Chooses the target of a request, and waits until it may be sent there.
+"""Selects the target of a request and waits until the request may be sent to it.
 
-Requests for engines wait at a steward for their adapter and for their prompt's turn;
-what no engine can take in time is refused, as not run.
+A request for an engine waits at the engine's steward for its adapter and for its turn,
+which is the permission to send one prompt to the engine. A request that no engine can
+take in time is refused as not run.
 """
 
 import asyncio
@@ -13,224 +14,241 @@
 from ibishead.decisions.choice import Chosen, Need, choose_target
 from ibishead.decisions.holding import find_hold
 from ibishead.errors import IbisheadError, OutcomeUnknown, Refused
-from ibishead.gateway.accounts import RequestState
-from ibishead.gateway.book import TargetBook
-from ibishead.gateway.stewards import StewardLinks, TurnEnd
+from ibishead.gateway.recorder import RequestState
+from ibishead.gateway.stewards import StewardLinks, TurnOutcome
+from ibishead.gateway.tracker import TargetTracker
 from ibishead.ids import FailureDomain
 from ibishead.routing.feed import RegistryFeed
 from ibishead.routing.routes import EngineSpec
 from ibishead.routing.targets import Registration
 
-__all__ = ["LEARN_TIME", "RETRY_WAIT", "TargetChooser"]
+__all__ = ["DISCOVERY_SECONDS", "MIN_RETRY_AFTER_SECONDS", "TargetChooser"]
 
-#: Seconds that a request waits for its turn at one engine, as a multiple of what its
-#: route aims at, and at least. After that another engine may be quicker.
-TURN_FACTOR = 1.5
-TURN_LEAST = 0.8
+#: Time-out of the wait for a turn at one engine, as a multiple of the route's objective
+#: and as a minimum in seconds. After that, another engine may be faster.
+TURN_TIMEOUT_FACTOR = 1.5
+MIN_TURN_TIMEOUT_SECONDS = 0.8
 
-#: Seconds until a request that no engine has begun is refused, as a multiple of what
-#: its route aims at. Callers of streams leave after some four times that without an
-#: event; a refusal before lets them try once more, elsewhere.
+#: Time after which a request that no engine has begun is refused, as a multiple of the
+#: route's objective. Callers of streams disconnect after about four times that
+#: objective without an event; an earlier refusal lets them retry once elsewhere.
 REFUSE_FACTOR = 2.5
 
-#: Seconds since the start in which targets may be still unknown: they announce
-#: themselves every second or so.
-LEARN_TIME = 3.0
+#: Seconds since the start during which targets may still be unknown. Targets announce
+#: themselves about once per second.
+DISCOVERY_SECONDS = 3.0
 
-#: Seconds between two looks for a target.
-LEARN_INTERVAL = 0.02
+#: Seconds between two checks for known targets during discovery.
+DISCOVERY_POLL_SECONDS = 0.02
 
-#: Seconds after which callers may come back, at least, and the share of the wait that
-#: is expected; half of that is added or taken off by chance.
-RETRY_WAIT = 0.5
-EXPECTED_SHARE = 0.7
+#: Minimum retry-after time in seconds, and retry-after time as a share of the expected
+#: wait. The result is varied randomly by up to half in either direction.
+MIN_RETRY_AFTER_SECONDS = 0.5
+RETRY_AFTER_SHARE = 0.7
 
 
 class TargetChooser:
-    """Chooses with what the feed, the book and the stewards know.
+    """Selects targets by the registries' feed, the tracker and the stewards.
 
-    :param draw: returns a number from 0 up to 1, for ties and for times to come back.
+    :param draw: returns a random number in [0, 1), for ties and retry-after times.
     """
 
     def __init__(
         self,
         domain: FailureDomain,
         feed: RegistryFeed,
-        book: TargetBook,
+        tracker: TargetTracker,
         stewards: StewardLinks,
         clock: Clock,
         draw: Callable[[], float] = random.random,
     ) -> None:
         self._domain = domain
         self._feed = feed
-        self._book = book
+        self._tracker = tracker
         self._stewards = stewards
         self._clock = clock
         self._draw = draw
-        self._began = clock.monotonic()
+        self._started_at = clock.monotonic()
 
     async def choose(self, request: RequestState) -> Registration:
-        """Return a target that the request may be sent to now."""
-        await self._await_targets(request)
+        """Return a target that the request may be sent to now.
+
+        :raises IbisheadError: no target takes the request in time.
+        """
+        await self._wait_for_discovery(request)
         while True:
-            chosen = self._pick(request, self._clock.monotonic())
+            chosen = self._select(request, self._clock.monotonic())
             target = self._feed.view.get(chosen.candidate.target)
             if target is None:
-                raise self.refuse(request, "the target has just left")
+                raise self.make_refusal(request, "the selected target has deregistered")
             if request.call.engine_key is None:
-                if await self._wait_share(request, target, chosen):
+                if await self._wait_for_rate_limit(request, target, chosen):
                     return target
                 continue
-            request.placed = chosen.candidate.adapter.describe()
-            match await self._wait_turn(request, target, chosen):
-                case TurnEnd.GIVEN:
+            request.placement = chosen.candidate.adapter.describe()
+            match await self._wait_for_turn(request, target, chosen):
+                case TurnOutcome.GRANTED:
                     return target
-                case TurnEnd.MUTE:
-                    request.last = "the engine's steward was silent"
-                case TurnEnd.LATE:
-                    request.last = "the engine had no turn in time"
+                case TurnOutcome.UNRESPONSIVE:
+                    request.last_reason = "the engine's steward did not respond"
+                case TurnOutcome.LATE:
+                    request.last_reason = "the engine granted no turn in time"
             request.avoid.add(target.target)
 
-    async def _await_targets(self, request: RequestState) -> None:
+    async def _wait_for_discovery(self, request: RequestState) -> None:
         view, now = self._feed.view, self._clock.monotonic()
         hold = find_hold(request.call.patience)
-        last = min(now + hold, self._began + LEARN_TIME)
-        while now < last and not view.list_service(request.service):
-            await asyncio.sleep(LEARN_INTERVAL)
+        end = min(now + hold, self._started_at + DISCOVERY_SECONDS)
+        while now < end and not view.list_service(request.service):
+            await asyncio.sleep(DISCOVERY_POLL_SECONDS)
             now = self._clock.monotonic()
 
-    async def _wait_share(
+    async def _wait_for_rate_limit(
         self, request: RequestState, target: Registration, chosen: Chosen
     ) -> bool:
-        """Wait for this gateway's part of a target's limit.
+        """Wait for this gateway's share of a target's rate limit.
 
-        :returns: whether the target is still there.
+        :returns: whether the target is still registered.
         """
         now = self._clock.monotonic()
-        if chosen.wait > max(0.0, self._find_rest(request, now)):
-            raise self.refuse(request, "no target's limit lets it through in time")
-        wait = self._book.notes(target).share.take(now)
+        if chosen.wait > max(0.0, self._find_remaining(request, now)):
+            raise self.make_refusal(
+                request, "no target's rate limit admits the request in time"
+            )
+        wait = self._tracker.stats(target).send_rate.take(now)
         if wait > 0:
             await asyncio.sleep(wait)
         return self._feed.view.get(target.target) is not None
 
-    async def _wait_turn(
+    async def _wait_for_turn(
         self, request: RequestState, target: Registration, chosen: Chosen
-    ) -> TurnEnd:
-        """Wait for the adapter, and for the prompt's turn."""
+    ) -> TurnOutcome:
+        """Wait for the adapter and for the request's turn at an engine."""
         call, adapter = request.call, chosen.candidate.adapter
         key = call.engine_key
         assert key is not None
         now = self._clock.monotonic()
-        end = TurnEnd.MUTE
-        if self._stewards.reaches(target.address):
-            wait = self._find_patience(request, now)
-            if wait <= 0:
-                raise self.refuse(request, request.last or "no engine was free")
-            if chosen.wait > self._find_rest(request, now):
-                raise self.refuse(request, "no engine can take it in time")
-            notes = self._book.notes(target)
+        outcome = TurnOutcome.UNRESPONSIVE
+        if self._stewards.is_available(target.address):
+            timeout = self._find_turn_timeout(request, now)
+            if timeout <= 0:
+                raise self.make_refusal(
+                    request, request.last_reason or "no engine was free"
+                )
+            if chosen.wait > self._find_remaining(request, now):
+                raise self.make_refusal(request, "no engine can take it in time")
+            stats = self._tracker.stats(target)
             if not adapter.resident:
-                self._book.begin_ask(notes, key)
+                self._tracker.begin_wait(stats, key)
             try:
-                end = await self._stewards.ask_turn(
+                outcome = await self._stewards.request_turn(
                     target.address,
                     key,
-                    self._least_version(request),
-                    wait=wait,
+                    self._find_min_version(request),
+                    wait=timeout,
                     tokens=call.prompt_tokens,
-                    due=request.since + request.route.objective - now,
+                    due=request.selection_started + request.route.objective - now,
                 )
             finally:
                 if not adapter.resident:
-                    self._book.end_ask(notes, key)
+                    self._tracker.end_wait(stats, key)
             request.turn_wait += self._clock.monotonic() - now
-        if end is TurnEnd.MUTE and adapter.resident and self._seems_well(target):
-            # Failure: a steward has ended, or is late, and its engine is well. What the
-            # engine already holds needs no order, so the request goes there at once.
-            share = self._book.notes(target).share
-            if share.wait(now := self._clock.monotonic()) > 0:
-                return TurnEnd.LATE
-            share.take(now)
+        if (
+            outcome is TurnOutcome.UNRESPONSIVE
+            and adapter.resident
+            and self._is_engine_responsive(target)
+        ):
+            # The steward has exited or is slow while its engine works. A request for
+            # weights that the engine already holds needs no load, so it is sent
+            # without a turn.
+            send_rate = self._tracker.stats(target).send_rate
+            if send_rate.wait(now := self._clock.monotonic()) > 0:
+                return TurnOutcome.LATE
+            send_rate.take(now)
             self._stewards.begin_use(target.address, key, call.prompt_tokens)
-            return TurnEnd.GIVEN
-        return end
+            return TurnOutcome.GRANTED
+        return outcome
 
-    def _seems_well(self, target: Registration) -> bool:
-        """Return whether an engine may be sent to without its steward's word.
+    def _is_engine_responsive(self, target: Registration) -> bool:
+        """Return whether a request may be sent to an engine without a turn.
 
-        Failure: the host of steward and engine stands still. What is sent there waits
-        until its caller leaves, and may not be sent elsewhere, as it may have run. So
-        while the steward is linked and mute, only an engine that brings events counts.
+        The host of steward and engine may be frozen. A request sent there would stay
+        pending until its caller disconnects, and could not be resent as it may have
+        run. So while a linked steward is unresponsive, its engine must have sent data
+        recently.
         """
-        if not self._stewards.is_mute(target.address):
+        if not self._stewards.is_unresponsive(target.address):
             return True
-        notes = self._book.notes(target)
-        return self._book.is_alive(notes, self._clock.monotonic())
+        stats = self._tracker.stats(target)
+        return self._tracker.is_responsive(stats, self._clock.monotonic())
 
-    def _find_patience(self, request: RequestState, now: float) -> float:
-        """Return the seconds that a request may wait at one engine."""
-        most = max(TURN_LEAST, TURN_FACTOR * request.route.objective)
-        return min(most, self._find_rest(request, now))
+    def _find_turn_timeout(self, request: RequestState, now: float) -> float:
+        """Return the seconds that a request may wait for a turn at one engine."""
+        timeout = max(
+            MIN_TURN_TIMEOUT_SECONDS, TURN_TIMEOUT_FACTOR * request.route.objective
+        )
+        return min(timeout, self._find_remaining(request, now))
 
-    def _find_rest(self, request: RequestState, now: float) -> float:
-        """Return the seconds until a request is refused if it can't be sent."""
-        last = request.since + REFUSE_FACTOR * request.route.objective
+    def _find_remaining(self, request: RequestState, now: float) -> float:
+        """Return the seconds until a request that has not been sent is refused."""
+        end = request.selection_started + REFUSE_FACTOR * request.route.objective
         if request.route.objective <= 0:
-            last = request.deadline
-        return min(request.deadline, last) - now
+            end = request.deadline
+        return min(request.deadline, end) - now
 
-    def _pick(self, request: RequestState, now: float) -> Chosen:
+    def _select(self, request: RequestState, now: float) -> Chosen:
         key = request.call.engine_key
-        least = self._least_version(request)
+        min_version = self._find_min_version(request)
         spec = self.find_spec(request)
         candidates = [
-            self._book.describe(
+            self._tracker.make_candidate(
                 target,
                 self._feed.view.heard(target.target) if self._feed.links else now,
                 now,
                 key,
-                least,
-                self._stewards.reaches(target.address),
+                min_version,
+                self._stewards.is_available(target.address),
                 spec,
-                self._stewards.is_mute(target.address),
+                self._stewards.is_unresponsive(target.address),
             )
             for target in self._feed.view.list_service(request.service)
         ]
         need = Need(
             self._domain,
             key,
-            self._book.mean_time(request.service),
+            self._tracker.mean_duration(request.service),
             frozenset(request.avoid),
         )
         chosen = choose_target(need, candidates, self._draw)
         if chosen is None:
-            raise self.refuse(request, request.last or "no target is known")
-        request.expected = chosen.wait
+            raise self.make_refusal(
+                request, request.last_reason or "no target is known"
+            )
+        request.expected_wait = chosen.wait
         return chosen
 
     def find_spec(self, request: RequestState) -> EngineSpec | None:
-        """Return what an engine of the request's service has room for."""
+        """Return the capacity of an engine of the request's service."""
         service = self._feed.find_service(request.service)
         return service.engine if service is not None else None
 
-    def _least_version(self, request: RequestState) -> int:
+    def _find_min_version(self, request: RequestState) -> int:
         key = request.call.weights
         floor = self._feed.floors.get(key) if key is not None else None
         return 0 if floor is None else floor.version
 
-    def refuse(self, request: RequestState, reason: str) -> IbisheadError:
-        """Return what a caller is told whose request no target takes."""
-        if request.progress.sends:
+    def make_refusal(self, request: RequestState, reason: str) -> IbisheadError:
+        """Return the error for a request that no target takes."""
+        if request.progress.uncertain_sends:
             return OutcomeUnknown(
-                f"an earlier send may have run, and then: {reason}",
-                "check before you send it again",
+                f"an earlier send may have run, and no target took a resend: {reason}",
+                "check whether the request has run before sending it again",
             )
-        # Callers of an outage are refused within moments of each other; told the same
-        # time, they would come back together.
-        wait = max(RETRY_WAIT, EXPECTED_SHARE * request.expected)
+        # During an outage many callers are refused within moments of each other. A
+        # random retry-after time keeps them from retrying simultaneously.
+        wait = max(MIN_RETRY_AFTER_SECONDS, RETRY_AFTER_SHARE * request.expected_wait)
         return Refused(
             f"not run: {reason}",
-            "come back after the time that is named",
+            "retry after the given time",
             retry_after=timedelta(seconds=wait * (0.5 + self._draw())),
         )
--- a/src/ibishead/gateway/connection.py
+++ b/src/ibishead/gateway/connection.py
@@ -1,7 +1,7 @@
-"""One connection to a target, for one exchange at a time, by h11.
+"""HTTP/1.1 client connection to a target, with one exchange at a time, based on h11.
 
-An answer may come while nothing is asked: too late, twice, or from another life of the
-target. Such bytes belong to no request, and the connection that brought them is over.
+Bytes that arrive outside an exchange, such as a late or duplicate response or one from
+an earlier incarnation of the target, belong to no request and close the connection.
 """
 
 import asyncio
@@ -18,29 +18,31 @@
 
 
 class TargetConnection(asyncio.Protocol):
-    """A client connection.
+    """An HTTP/1.1 client connection.
 
-    :ivar used: when its last exchange ended, monotonic seconds, set by its owner.
-    :ivar idle_time: seconds for which the target keeps it, set by its owner.
+    :ivar last_used: monotonic seconds at which the last exchange ended, set by the
+        owner.
+    :ivar idle_time: seconds for which the target keeps the connection open when idle,
+        or ``None`` if unknown, set by the owner.
     """
 
-    def __init__(self, host: str) -> None:
-        self._host = host
+    def __init__(self, endpoint: str) -> None:
+        self._endpoint = endpoint
         self._state = h11.Connection(h11.CLIENT)
         self._events: deque[h11.Event] = deque()
         self._waiter: asyncio.Future[None] | None = None
         self._transport: asyncio.Transport | None = None
-        self._asking = False
-        self._early = False
-        self._loss: str | None = None
-        self.used = 0.0
+        self._in_exchange = False
+        self._responded_early = False
+        self._close_reason: str | None = None
+        self.last_used = 0.0
         self.idle_time: float | None = None
 
     @classmethod
     async def open(cls, endpoint: Endpoint) -> "TargetConnection":
-        """Connect.
+        """Open a connection.
 
-        :raises LinkLost: nobody answers there in time; nothing was sent.
+        :raises LinkLost: the connection was refused or timed out; nothing was sent.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -50,40 +52,40 @@
             )
         except (OSError, TimeoutError) as error:
             raise LinkLost(
-                f"no connection to {endpoint}: {error or type(error).__name__}",
-                "check that the target runs there",
+                f"cannot connect to {endpoint}: {error or type(error).__name__}",
+                "check that the target is running and listening there",
             ) from error
         return connection
 
-    # Of asyncio.Protocol -----------------------------------------------------
+    # asyncio.Protocol callbacks ----------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and enable keep-alive probes on its socket."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         watch_socket(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes in; those that nobody asked for end the connection."""
-        if not self._asking:
-            self._lose("bytes that belong to no request")
+        """Parse received bytes; bytes outside an exchange close the connection."""
+        if not self._in_exchange:
+            self._close("received bytes outside an exchange")
             return
         self._state.receive_data(data)
         self._parse()
 
     def eof_received(self) -> bool:
-        """Take in that the target has closed its side in order."""
-        if self._asking and self._loss is None:
+        """Handle the end of the target's byte stream."""
+        if self._in_exchange and self._close_reason is None:
             self._state.receive_data(b"")
             self._parse()
-        if self._asking and self._loss is None:
+        if self._in_exchange and self._close_reason is None:
             return False
-        self._lose("closed by the target")
+        self._close("closed by the target")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take in that the connection is over."""
-        self._lose(f"lost: {exc}" if exc else "closed")
+        """Handle the loss of the connection."""
+        self._close(f"transport error: {exc}" if exc else "closed")
 
     # Exchanges ---------------------------------------------------------------
 
@@ -91,7 +93,7 @@
     def closed(self) -> bool:
         """Whether no further exchange is possible."""
         return (
-            self._loss is not None
+            self._close_reason is not None
             or self._transport is None
             or self._transport.is_closing()
         )
@@ -99,53 +101,55 @@
     async def ask(
         self, method: str, target: str, headers: Headers, body: bytes
     ) -> tuple[int, Headers]:
-        """Send a request, and return status and headers of its answer.
+        """Send a request and return the status and headers of its response.
 
-        :raises InvalidInput: it can't be sent; nothing was.
-        :raises LinkLost: the connection ended first; the request may have run.
+        :raises InvalidInput: the request cannot be encoded; nothing was sent.
+        :raises LinkLost: the connection was lost before the response headers; the
+            request may have run.
         """
         data = self._encode(method, target, headers, body)
         if self.closed or self._transport is None:
-            raise self._describe_loss()
-        self._asking = True
+            raise self._make_error()
+        self._in_exchange = True
         self._transport.write(data)
-        head = await self._next()
-        while isinstance(head, h11.InformationalResponse):
-            head = await self._next()
-        if not isinstance(head, h11.Response):
-            raise self._break("no answer came before the end")
-        # Failure: a target answers before it has read a long body and reads on later;
-        # whatever is sent next would be taken for the rest of that body.
-        self._early = self._transport.get_write_buffer_size() > 0
-        return head.status_code, tuple(
-            (k.decode("ascii"), v.decode("latin-1")) for k, v in head.headers
+        response = await self._next_event()
+        while isinstance(response, h11.InformationalResponse):
+            response = await self._next_event()
+        if not isinstance(response, h11.Response):
+            raise self._fail("closed before the response headers were received")
+        # A target may respond before it has read a long request body and read the rest
+        # later. It would parse the next request as part of that body, so the connection
+        # is not reused.
+        self._responded_early = self._transport.get_write_buffer_size() > 0
+        return response.status_code, tuple(
+            (k.decode("ascii"), v.decode("latin-1")) for k, v in response.headers
         )
 
     async def read(self) -> bytes | None:
-        """Return what has come of the body, none at its end.
+        """Return the next part of the response body, or ``None`` at its end.
 
-        :raises LinkLost: the connection ended before the body was whole.
+        :raises LinkLost: the connection was lost before the body was complete.
         """
-        pieces: list[bytes] = []
+        parts: list[bytes] = []
         while True:
-            if pieces and not self._events:
-                return b"".join(pieces)
-            event = await self._next(bool(pieces))
+            if parts and not self._events:
+                return b"".join(parts)
+            event = await self._next_event(bool(parts))
             match event:
                 case h11.Data():
-                    pieces.append(bytes(event.data))
+                    parts.append(bytes(event.data))
                 case h11.EndOfMessage():
-                    if pieces:
+                    if parts:
                         self._events.appendleft(event)
-                        return b"".join(pieces)
+                        return b"".join(parts)
                     self._end_exchange()
                     return None
                 case _:
-                    raise self._break("closed before the body was whole")
+                    raise self._fail("closed before the response body was complete")
 
     def close(self) -> None:
-        """Drop the connection at once."""
-        self._lose("dropped")
+        """Close the connection immediately."""
+        self._close("dropped")
 
     def _encode(self, method: str, target: str, headers: Headers, body: bytes) -> bytes:
         framing: Headers = ()
@@ -167,7 +171,8 @@
         except (h11.LocalProtocolError, UnicodeEncodeError) as error:
             self.close()
             raise InvalidInput(
-                f"the request can't be sent: {error}", "mend method, path or headers"
+                f"request cannot be encoded as HTTP/1.1: {error}",
+                "correct the method, path or headers",
             ) from error
 
     def _parse(self) -> None:
@@ -181,29 +186,29 @@
                 if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                     break
         except h11.RemoteProtocolError as error:
-            self._lose(f"no valid answer: {error}")
+            self._close(f"malformed response: {error}")
             return
         if self._events:
-            self._wake()
+            self._wake_reader()
 
-    async def _next(self, ready: bool = False) -> h11.Event:
+    async def _next_event(self, ready: bool = False) -> h11.Event:
         if not self._events and not ready:
-            if self._loss is not None:
-                raise self._describe_loss()
+            if self._close_reason is not None:
+                raise self._make_error()
             self._waiter = asyncio.get_running_loop().create_future()
             try:
                 await self._waiter
             finally:
                 self._waiter = None
         if not self._events:
-            raise self._describe_loss()
+            raise self._make_error()
         return self._events.popleft()
 
     def _end_exchange(self) -> None:
-        self._asking = False
+        self._in_exchange = False
         reusable = (
-            self._loss is None
-            and not self._early
+            self._close_reason is None
+            and not self._responded_early
             and self._state.our_state is h11.DONE
             and self._state.their_state is h11.DONE
             and not self._state.trailing_data[0]
@@ -211,27 +216,27 @@
         if reusable:
             self._state.start_next_cycle()
         else:
-            self._lose("not kept")
+            self._close("connection cannot be reused")
 
-    def _wake(self) -> None:
+    def _wake_reader(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def _lose(self, reason: str) -> None:
-        if self._loss is None:
-            self._loss = reason
+    def _close(self, reason: str) -> None:
+        if self._close_reason is None:
+            self._close_reason = reason
         if self._transport is not None:
-            if self._asking:
+            if self._in_exchange:
                 reset_on_close(self._transport)
             self._transport.abort()
-        self._wake()
+        self._wake_reader()
 
-    def _break(self, reason: str) -> LinkLost:
-        self._lose(reason)
-        return self._describe_loss()
+    def _fail(self, reason: str) -> LinkLost:
+        self._close(reason)
+        return self._make_error()
 
-    def _describe_loss(self) -> LinkLost:
+    def _make_error(self) -> LinkLost:
         return LinkLost(
-            f"the connection to {self._host} was lost: {self._loss or 'closed'}",
-            "check the target's own log",
+            f"lost connection to {self._endpoint}: {self._close_reason or 'closed'}",
+            "check the log of the target",
         )
--- a/src/ibishead/gateway/events.py
+++ b/src/ibishead/gateway/events.py
@@ -1,49 +1,52 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Splits a stream of server-sent events at event boundaries."""
 
-__all__ = ["EventCutter"]
+__all__ = ["EventSplitter"]
 
 _BOUNDARY = b"\n\n"
 _ID = b"id:"
 
 
-class EventCutter:
-    """Holds back the part of an event until the rest has come.
+class EventSplitter:
+    """Buffers a partial event until it is complete.
 
-    Failure: a target breaks off in the middle of an event, and another goes on behind
-    the last whole one. What the caller had of the broken event would stand before it.
+    When a target fails in the middle of an event, another target resumes the stream
+    after the last complete event. A partial event that had been relayed would corrupt
+    the resumed stream.
 
-    :ivar last: id of the last whole event, none before the first.
-    :ivar count: whole events so far.
+    :ivar last_id: id of the last complete event, or ``None`` before the first one.
+    :ivar count: number of complete events so far.
     """
 
-    def __init__(self, last: str | None = None) -> None:
-        self.last = last
+    def __init__(self, last_id: str | None = None) -> None:
+        self.last_id = last_id
         self.count = 0
-        self._rest = b""
+        self._partial = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the bytes of all events that are whole now."""
-        data = self._rest + data
+        """Add received bytes and return all events that are now complete."""
+        data = self._partial + data
         end = data.rfind(_BOUNDARY)
         if end < 0:
-            self._rest = data
+            self._partial = data
             return b""
         end += len(_BOUNDARY)
-        self._rest = data[end:]
-        whole = data[:end]
-        self.count += whole.count(_BOUNDARY)
-        self._note_last(whole)
-        return whole
-
-    def take_rest(self) -> bytes:
-        """Return what is left when the stream has come to its end."""
-        rest, self._rest = self._rest, b""
-        return rest
-
-    def _note_last(self, whole: bytes) -> None:
-        at = whole.rfind(b"\n" + _ID)
-        start = at + 1 if at >= 0 else (0 if whole.startswith(_ID) else -1)
+        self._partial = data[end:]
+        complete = data[:end]
+        self.count += complete.count(_BOUNDARY)
+        self._update_last_id(complete)
+        return complete
+
+    def flush(self) -> bytes:
+        """Return and clear the buffered bytes at the end of the stream."""
+        partial, self._partial = self._partial, b""
+        return partial
+
+    def _update_last_id(self, complete: bytes) -> None:
+        position = complete.rfind(b"\n" + _ID)
+        start = (
+            position + 1 if position >= 0 else (0 if complete.startswith(_ID) else -1)
+        )
         if start < 0:
             return
-        line = whole[start + len(_ID) : whole.index(b"\n", start)]
-        self.last = line.strip().decode("ascii", "replace")
+        line = complete[start + len(_ID) : complete.index(b"\n", start)]
+        self.last_id = line.strip().decode("ascii", "replace")
--- a/src/ibishead/gateway/pipeline.py
+++ b/src/ibishead/gateway/pipeline.py
@@ -1,7 +1,7 @@
-"""The way of one request: read, resolve, choose, send, relay.
+"""Processes a request: parses it, resolves its route, selects a target and relays.
 
-A request that may run only once is sent again only after proof that it didn't run. What
-is known when it ends decides what the caller is told.
+A request that may run only once is resent only if it is certain that it did not run.
+The error returned to the caller states whether the request may have run.
 """
 
 import asyncio
@@ -22,26 +22,26 @@
     Refused,
     Unavailable,
 )
-from ibishead.gateway.accounts import (
+from ibishead.gateway.calls import Call, CallerDialect, TargetDialect
+from ibishead.gateway.choosing import MIN_RETRY_AFTER_SECONDS, TargetChooser
+from ibishead.gateway.pool import ConnectionPool
+from ibishead.gateway.recorder import (
     ANSWERED,
     CALLER_LEFT,
-    RequestAccounts,
+    RequestRecorder,
     RequestState,
 )
-from ibishead.gateway.book import TargetBook
-from ibishead.gateway.calls import Call, CallerDialect, TargetDialect
-from ibishead.gateway.choosing import RETRY_WAIT, TargetChooser
-from ibishead.gateway.pool import ConnectionPool
 from ibishead.gateway.sending import (
     Answered,
-    Broken,
     CallerLeftError,
+    Failed,
     NotRun,
     Outcome,
     Progress,
     Sender,
 )
 from ibishead.gateway.stewards import StewardLinks
+from ibishead.gateway.tracker import TargetTracker
 from ibishead.ids import FailureDomain, ServiceName
 from ibishead.metrics import Metrics
 from ibishead.routing.feed import RegistryFeed
@@ -52,22 +52,27 @@
 
 __all__ = ["Pipeline"]
 
-#: Sends of one request that targets may refuse; a further one would meet the same load.
+#: Number of refused sends after which a request is refused. A further send would
+#: encounter the same load.
 MAX_REFUSALS = 3
 
-#: Events of an answer that tell its pace, at least. In a shorter one a single late
-#: event decides.
-LEAST_EVENTS = 8
+#: Minimum number of events in a response that is used to measure the token rate. In a
+#: shorter one, a single late event would dominate the result.
+MIN_RATE_EVENTS = 8
 
 
 class Pipeline:
-    """Serves requests with what the feed, the book and the stewards know."""
+    """Serves requests, using the registries' feed, the tracker and the stewards.
+
+    :param share: retry budget that all gateways share.
+    :param draw: returns a random number in [0, 1), for ties and retry-after times.
+    """
 
     def __init__(
         self,
         domain: FailureDomain,
         feed: RegistryFeed,
-        book: TargetBook,
+        tracker: TargetTracker,
         pool: ConnectionPool,
         stewards: StewardLinks,
         callers: CallerDialect,
@@ -78,106 +83,110 @@
         draw: Callable[[], float] = random.random,
     ) -> None:
         self._feed = feed
-        self._chooser = TargetChooser(domain, feed, book, stewards, clock, draw)
+        self._chooser = TargetChooser(domain, feed, tracker, stewards, clock, draw)
         self._stewards = stewards
         self._callers = callers
-        self._book = book
+        self._tracker = tracker
         self._sender = Sender(
-            book, pool, targets, clock, self._note_begin, self._note_limit
+            tracker, pool, targets, clock, self._notify_prompt_read, self._handle_limit
         )
         self._clock = clock
-        self._share = share
-        self._accounts = RequestAccounts(callers, feed, metrics, clock)
+        self._retry_share = share
+        self._recorder = RequestRecorder(callers, feed, metrics, clock)
         self._draw = draw
         self._budgets: dict[ServiceName, RetryBudget] = {}
-        self._pace = AnswerPace()
-        self._began = clock.monotonic()
-        self._ends_at: float | None = None
+        self._answer_pace = AnswerPace()
+        self._started_at = clock.monotonic()
+        self._stop_at: float | None = None
+
+    def begin_drain(self, stop_at: float) -> None:
+        """Accept only requests that are expected to finish in time.
 
-    def leave(self, ends_at: float) -> None:
-        """Take only what will have been answered by then, in monotonic seconds."""
-        self._ends_at = ends_at
+        :param stop_at: monotonic seconds at which the gateway stops.
+        """
+        self._stop_at = stop_at
 
-    def take_limit(self, told: RateTold) -> None:
-        """Take in the limit that a steward keeps for its engine, or none.
+    def apply_limit(self, limit: RateTold) -> None:
+        """Apply the rate limit that a steward enforces for its engine, or remove it.
 
-        Failure: a limit is over, and the answer that shows it goes to a gateway that
-        hasn't heard of it. Nobody tells the steward, which goes on holding back.
+        The response that shows the end of a limit may go to a gateway that has not
+        received that limit. That gateway would not notify the steward, which would
+        continue to enforce the limit.
         """
-        target = self._feed.view.get(told.target)
+        target = self._feed.view.get(limit.target)
         if target is not None:
-            self._set_limit(target, told.rate)
+            self._set_limit(target, limit.rate)
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Process one request and respond to it."""
         started = self._clock.monotonic()
         request: RequestState | None = None
         try:
             call = self._callers.read_call(exchange.request)
-            await self._await_routes(call)
+            await self._wait_for_routes(call)
             request = self._resolve(call, exchange, started)
-            await self._run(request, exchange)
-            self._accounts.note_end(request, ANSWERED)
-            self._note_pace(request)
+            await self._run_until_deadline(request, exchange)
+            self._recorder.record_end(request, ANSWERED)
+            self._record_pace(request)
         except CallerLeftError:
             if request is not None:
-                self._accounts.note_end(request, CALLER_LEFT)
+                self._recorder.record_end(request, CALLER_LEFT)
         except IbisheadError as error:
             if request is None:
-                self._accounts.note_refusal(exchange.request, error)
+                self._recorder.record_refusal(exchange.request, error)
             else:
-                self._accounts.note_end(request, error.code.value, error)
+                self._recorder.record_end(request, error.code.value, error)
             if exchange.started:
                 exchange.abort()
                 return
             status, headers, body = self._callers.show_error(error, exchange.request)
             await exchange.respond(status, headers, body)
 
-    def _note_pace(self, request: RequestState) -> None:
+    def _record_pace(self, request: RequestState) -> None:
         spec, progress = self._chooser.find_spec(request), request.progress
-        if spec is not None and progress.events >= LEAST_EVENTS:
-            took = self._clock.monotonic() - progress.first
-            self._pace.note(took, progress.events * spec.event_tokens)
+        if spec is not None and progress.event_count >= MIN_RATE_EVENTS:
+            seconds = self._clock.monotonic() - progress.response_started
+            self._answer_pace.note(seconds, progress.event_count * spec.event_tokens)
 
-    async def _await_routes(self, call: Call) -> None:
+    async def _wait_for_routes(self, call: Call) -> None:
         if self._feed.routes is None:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(find_hold(call.patience)):
                     await self._feed.routes_known.wait()
 
-    def _expect_routes(self) -> timedelta:
-        wait = expect_routes(self._clock.monotonic() - self._began)
+    def _find_retry_after(self) -> timedelta:
+        wait = expect_routes(self._clock.monotonic() - self._started_at)
         return timedelta(seconds=wait * (0.5 + self._draw()))
 
     def _resolve(self, call: Call, exchange: Exchange, started: float) -> RequestState:
-        expected = self._pace.expect(call.answer_tokens)
-        if self._ends_at is not None and not fits_grace(
-            expected, self._ends_at - started
+        expected = self._answer_pace.expect(call.answer_tokens)
+        if self._stop_at is not None and not fits_grace(
+            expected, self._stop_at - started
         ):
             raise Unavailable(
-                "not run: this host is about to stop",
-                "send it again over a new connection",
+                "not run: this gateway is shutting down",
+                "retry over a new connection",
                 code=ErrorCode.DRAINING,
                 retry_after=ELSEWHERE_WAIT,
             )
         routes = self._feed.routes
         if routes is None:
             raise Unavailable(
-                "no routes are known here yet",
-                "come back in a moment",
+                "not run: no routes have been received yet",
+                "retry after the given time",
                 code=ErrorCode.NO_QUORUM,
-                retry_after=self._expect_routes(),
+                retry_after=self._find_retry_after(),
             )
         route = find_route(routes, call.hostname, call.path)
         if route is None:
             raise NotFound(
-                f"no route leads from {call.hostname} {call.path}",
-                "check the host name and the path against the routes in force",
+                f"no route matches {call.hostname} {call.path}",
+                "check the host name and the path against the current routes",
             )
-        patience = route.timeout if call.patience is None else call.patience
-        deadline = started + min(patience, route.timeout)
+        timeout = route.timeout if call.patience is None else call.patience
+        deadline = started + min(timeout, route.timeout)
         service = pick_service(route, self._draw())
-        self._budget(service).record_attempt()
+        self._find_budget(service).record_attempt()
         return RequestState(
             call,
             route,
@@ -188,28 +197,30 @@
             Progress(exchange, call.resume_after),
         )
 
-    async def _run(self, request: RequestState, exchange: Exchange) -> None:
-        work = asyncio.create_task(self._answer(request))
-        gone = asyncio.create_task(exchange.gone.wait())
+    async def _run_until_deadline(
+        self, request: RequestState, exchange: Exchange
+    ) -> None:
+        task = asyncio.create_task(self._send_until_answered(request))
+        caller_left = asyncio.create_task(exchange.gone.wait())
         wait = max(0.0, request.deadline - self._clock.monotonic())
         try:
             await asyncio.wait(
-                (work, gone), timeout=wait, return_when=asyncio.FIRST_COMPLETED
+                (task, caller_left), timeout=wait, return_when=asyncio.FIRST_COMPLETED
             )
-            if work.done():
-                work.result()
+            if task.done():
+                task.result()
                 return
-            if gone.done():
+            if caller_left.done():
                 raise CallerLeftError
             raise _describe_timeout(request)
         finally:
-            gone.cancel()
-            if not work.done():
-                # what still runs at a target ends with its connection
-                work.cancel()
-            await asyncio.gather(work, gone, return_exceptions=True)
+            caller_left.cancel()
+            if not task.done():
+                # Closing the connection ends a send that is still in progress.
+                task.cancel()
+            await asyncio.gather(task, caller_left, return_exceptions=True)
 
-    async def _answer(self, request: RequestState) -> None:
+    async def _send_until_answered(self, request: RequestState) -> None:
         key = request.call.engine_key
         while True:
             target = await self._chooser.choose(request)
@@ -223,81 +234,93 @@
                 )
             finally:
                 if key is not None:
-                    if not request.progress.read_time:
-                        self._note_begin(request.call, target, 0.0)
+                    if not request.progress.response_delay:
+                        self._notify_prompt_read(request.call, target, 0.0)
                     progress = request.progress
                     self._stewards.end_use(
-                        target.address, key, progress.pause, progress.failed
+                        target.address, key, progress.max_gap, progress.failed
                     )
             match outcome:
                 case Answered():
                     return
-                case NotRun() | Broken():
-                    self._weigh(request, target, outcome)
+                case NotRun() | Failed():
+                    self._check_resend(request, target, outcome)
 
-    def _note_begin(self, call: Call, target: Registration, seconds: float) -> None:
+    def _notify_prompt_read(
+        self, call: Call, target: Registration, seconds: float
+    ) -> None:
         if call.engine_key is not None:
-            self._stewards.note_read(target.address, call.prompt_tokens, seconds)
+            self._stewards.notify_prompt_read(
+                target.address, call.prompt_tokens, seconds
+            )
 
-    def _note_limit(self, call: Call, target: Registration, rate: float | None) -> None:
-        if rate is None and self._book.notes(target).rate_limit is None:
+    def _handle_limit(
+        self, call: Call, target: Registration, rate: float | None
+    ) -> None:
+        if rate is None and self._tracker.stats(target).rate_limit is None:
             return
         if call.engine_key is not None:
-            self._stewards.tell_limit(target, rate)
+            self._stewards.notify_limit(target, rate)
         self._set_limit(target, rate)
 
     def _set_limit(self, target: Registration, rate: float | None) -> None:
         now = self._clock.monotonic()
-        self._book.note_limit(target, rate, self._count_gateways(), now, self._draw())
+        self._tracker.record_limit(
+            target, rate, self._count_gateways(), now, self._draw()
+        )
 
     def _count_gateways(self) -> int:
         return max(1, len(self._feed.list_members(MemberKind.GATEWAY)))
 
-    def _weigh(
+    def _check_resend(
         self, request: RequestState, target: Registration, outcome: Outcome
     ) -> None:
-        """Return where another send may follow, and raise what the caller is told."""
+        """Return if the request may be resent; otherwise raise the caller's error."""
         request.avoid.add(target.target)
         progress, route = request.progress, request.route
         match outcome:
-            case NotRun(reason, arrived):
-                request.last = reason
+            case NotRun(reason, received):
+                request.last_reason = reason
                 request.refusals += 1
-                spent = arrived and not self._budget(request.service).take()
-                if request.refusals < MAX_REFUSALS and not spent:
+                out_of_budget = (
+                    received and not self._find_budget(request.service).take()
+                )
+                if request.refusals < MAX_REFUSALS and not out_of_budget:
                     return
-                raise self._chooser.refuse(request, reason)
-            case Broken(reason):
-                request.last = reason
-                again = route.repeatable and progress.sends < route.attempts
-                if again and self._budget(request.service).take():
-                    request.since = self._clock.monotonic()
+                raise self._chooser.make_refusal(request, reason)
+            case Failed(reason):
+                request.last_reason = reason
+                may_repeat = (
+                    route.repeatable and progress.uncertain_sends < route.attempts
+                )
+                if may_repeat and self._find_budget(request.service).take():
+                    request.selection_started = self._clock.monotonic()
                     return
                 raise OutcomeUnknown(
-                    f"the target's answer was lost: {reason}",
-                    "check before you send it again",
+                    f"no complete response from the target: {reason}",
+                    "check whether the request has run before sending it again",
                     code=ErrorCode.TARGET_FAILED,
                 )
 
-    def _budget(self, service: ServiceName) -> RetryBudget:
+    def _find_budget(self, service: ServiceName) -> RetryBudget:
         found = self._budgets.get(service)
         if found is None:
-            burst = max(1.0, self._share.slack / self._count_gateways())
-            found = RetryBudget(self._share.ratio, burst)
+            burst = max(1.0, self._retry_share.slack / self._count_gateways())
+            found = RetryBudget(self._retry_share.ratio, burst)
             self._budgets[service] = found
         return found
 
 
 def _describe_timeout(request: RequestState) -> IbisheadError:
-    if request.progress.sends == 0 and not request.progress.sending:
+    if request.progress.uncertain_sends == 0 and not request.progress.sending:
         return Refused(
-            f"not run in time: {request.last or 'no target was free'}",
-            "come back later, or wait longer",
-            retry_after=timedelta(seconds=RETRY_WAIT),
+            f"not run in time: {request.last_reason or 'no target was free'}",
+            "retry after the given time, or set a later deadline",
+            retry_after=timedelta(seconds=MIN_RETRY_AFTER_SECONDS),
         )
     error = OutcomeUnknown(
-        "the target didn't answer in time",
-        "check before you send it again",
+        "no complete response from the target before the deadline",
+        "check whether the request has run before sending it again",
         code=ErrorCode.DEADLINE_EXCEEDED,
     )
     error.status = 504
--- a/src/ibishead/gateway/pool.py
+++ b/src/ibishead/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to targets, so that few new ones are made."""
+"""Pool of idle HTTP connections to targets."""
 
 import logging
 
@@ -10,20 +10,23 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds before the end of the target's own idle time from which a kept connection
-#: isn't used any more, at most half of that time. They cover the way there and a target
-#: that counts from a little earlier, so that no request crosses the target's close.
-IDLE_MARGIN = 1.0
+#: Seconds before the target's keep-alive timeout at which an idle connection is no
+#: longer reused; limited to half of that timeout. The margin covers the network delay
+#: and a target that starts its timer slightly earlier, so that no request is sent while
+#: the target is closing the connection.
+IDLE_MARGIN_SECONDS = 1.0
 
-#: Seconds for which a connection is kept where the target doesn't say.
-IDLE_DEFAULT = 4.0
+#: Seconds for which an idle connection is kept if the target names no timeout.
+DEFAULT_IDLE_SECONDS = 4.0
 
 
 class ConnectionPool:
-    """Idle connections by address, the one that has been idle longest first.
+    """Idle connections by address, reused in FIFO order.
 
-    So all stay in use. With the last one first, those beyond the usual number ran out,
-    and were opened anew at the next clump of requests.
+    FIFO order keeps all connections in use. In LIFO order, the connections beyond the
+    usual number expired and had to be reopened at the next burst of requests.
+
+    :ivar opened: number of connections opened so far.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -31,52 +34,52 @@
         self._idle: dict[str, list[TargetConnection]] = {}
         self.opened = 0
 
-    async def take(self, address: str) -> TargetConnection:
-        """Return a connection to an address, a kept one where there is one.
+    async def acquire(self, address: str) -> TargetConnection:
+        """Return an idle connection to an address, or open a new one.
 
-        :raises LinkLost: nobody answers there; nothing was sent.
+        :raises LinkLost: the connection could not be opened; nothing was sent.
         """
         now = self._clock.monotonic()
-        kept = self._idle.get(address, [])
-        while kept:
-            connection = kept.pop(0)
+        idle = self._idle.get(address, [])
+        while idle:
+            connection = idle.pop(0)
             if _is_usable(connection, now):
                 return connection
             connection.close()
         self.opened += 1
         return await TargetConnection.open(parse_address(address))
 
-    def give_back(self, address: str, connection: TargetConnection) -> None:
-        """Keep a connection whose exchange has ended in order."""
+    def release(self, address: str, connection: TargetConnection) -> None:
+        """Return a connection to the pool after a complete exchange."""
         if connection.closed:
             return
-        connection.used = self._clock.monotonic()
+        connection.last_used = self._clock.monotonic()
         self._idle.setdefault(address, []).append(connection)
 
-    def sweep(self) -> None:
-        """Close what has been idle for too long."""
+    def close_expired(self) -> None:
+        """Close connections that have exceeded their idle time."""
         now = self._clock.monotonic()
-        for address, kept in list(self._idle.items()):
-            for connection in kept:
+        for address, idle in list(self._idle.items()):
+            for connection in idle:
                 if not _is_usable(connection, now):
                     connection.close()
-            self._idle[address] = [c for c in kept if not c.closed]
+            self._idle[address] = [c for c in idle if not c.closed]
             if not self._idle[address]:
                 del self._idle[address]
 
-    def drop(self, address: str) -> None:
-        """Close all kept connections to an address."""
+    def close_address(self, address: str) -> None:
+        """Close all idle connections to an address."""
         for connection in self._idle.pop(address, []):
             connection.close()
 
     def close(self) -> None:
-        """Close all kept connections."""
+        """Close all idle connections."""
         for address in list(self._idle):
-            self.drop(address)
+            self.close_address(address)
 
 
 def parse_address(address: str) -> Endpoint:
-    """Return the endpoint of ``ADDRESS:PORT``."""
+    """Return the endpoint of an ``ADDRESS:PORT`` string."""
     host, _, port = address.rpartition(":")
     return Endpoint(host, int(port))
 
@@ -84,6 +87,10 @@
 def _is_usable(connection: TargetConnection, now: float) -> bool:
     if connection.closed:
         return False
-    told = connection.idle_time
-    limit = IDLE_DEFAULT if told is None else max(told - IDLE_MARGIN, told / 2)
-    return now - connection.used < limit
+    timeout = connection.idle_time
+    limit = (
+        DEFAULT_IDLE_SECONDS
+        if timeout is None
+        else max(timeout - IDLE_MARGIN_SECONDS, timeout / 2)
+    )
+    return now - connection.last_used < limit
--- a/src/ibishead/gateway/accounts.py
+++ b/src/ibishead/gateway/recorder.py
@@ -1,4 +1,4 @@
-"""What is kept of a request on its way, and told of it when it ends."""
+"""State of a request in progress, and the log line and metrics written at its end."""
 
 import logging
 from dataclasses import dataclass, field
@@ -15,20 +15,30 @@
 from ibishead.routing.routes import Route
 from ibishead.web import WebRequest
 
-__all__ = ["ANSWERED", "CALLER_LEFT", "RequestAccounts", "RequestState"]
+__all__ = ["ANSWERED", "CALLER_LEFT", "RequestRecorder", "RequestState"]
 
 logger = logging.getLogger(__name__)
 
-#: How a request may end besides with an error, whose code is told then.
+#: Outcomes of requests that did not fail; a failed request is logged with its error
+#: code.
 ANSWERED = "answered"
 CALLER_LEFT = "caller_left"
 
 
 @dataclass
 class RequestState:
-    """One request on its way.
-
-    :ivar since: when it began to look for a target, again after each send that broke.
+    """State of one request in progress.
+
+    :ivar deadline: monotonic seconds at which the request times out.
+    :ivar started: monotonic seconds at which the request was received.
+    :ivar selection_started: monotonic seconds at which the selection of a target began;
+        reset after each failed send.
+    :ivar avoid: targets that are not selected again for this request.
+    :ivar refusals: number of sends that targets refused or that did not reach them.
+    :ivar last_reason: reason of the last unsuccessful send or wait.
+    :ivar turn_wait: seconds spent waiting for turns at engines.
+    :ivar placement: state of the adapter at the engine that was selected last.
+    :ivar expected_wait: expected seconds until the selected target takes the request.
     """
 
     call: Call
@@ -36,18 +46,18 @@
     service: ServiceName
     deadline: float
     started: float
-    since: float
+    selection_started: float
     progress: Progress
     avoid: set[TargetId] = field(default_factory=set)
     refusals: int = 0
-    last: str = ""
+    last_reason: str = ""
     turn_wait: float = 0.0
-    placed: str = ""
-    expected: float = 0.0
+    placement: str = ""
+    expected_wait: float = 0.0
 
 
-class RequestAccounts:
-    """Writes a line, and counts, for each request that has ended."""
+class RequestRecorder:
+    """Writes a log line and updates the metrics for each finished request."""
 
     def __init__(
         self,
@@ -61,8 +71,8 @@
         self._metrics = metrics
         self._clock = clock
 
-    def note_refusal(self, request: WebRequest, error: IbisheadError) -> None:
-        """Tell of a request that was refused before its route was known."""
+    def record_refusal(self, request: WebRequest, error: IbisheadError) -> None:
+        """Record a request that was refused before its route was resolved."""
         self._metrics.count_refusal(error.code)
         logger.info(
             "request refused",
@@ -74,57 +84,62 @@
             },
         )
 
-    def note_end(
+    def record_end(
         self,
         request: RequestState,
         outcome: str,
         error: IbisheadError | None = None,
     ) -> None:
-        """Tell of a request that has ended.
+        """Record a finished request.
 
-        :param error: what its caller was told, if it got no answer of a target.
+        :param error: error returned to the caller, or ``None`` if the caller got a
+            target's response or disconnected.
         """
         if error is not None:
             self._metrics.count_refusal(error.code)
         progress = request.progress
-        self._measure(request, outcome == ANSWERED, error)
-        calm = outcome == ANSWERED and not request.refusals and not progress.sends
+        self._update_metrics(request, outcome == ANSWERED, error)
+        routine = (
+            outcome == ANSWERED
+            and not request.refusals
+            and not progress.uncertain_sends
+        )
         logger.info(
             "request ended",
-            extra=(mark_routine() if calm else {})
+            extra=(mark_routine() if routine else {})
             | {
                 "request": request.call.request,
                 "route": request.route.name,
                 "service": request.service,
                 "adapter": request.call.adapter,
                 "target": progress.target,
-                "sends": progress.sends,
+                "sends": progress.uncertain_sends,
                 "refusals": request.refusals,
                 "events_after": progress.last_event,
                 "seconds": round(self._clock.monotonic() - request.started, 4),
-                "placed": request.placed,
+                "placed": request.placement,
                 "turn_wait": round(request.turn_wait, 4),
-                "pause": round(progress.pause, 4),
-                "first": round(progress.first - request.started, 4)
-                if progress.first
+                "pause": round(progress.max_gap, 4),
+                "first": round(progress.response_started - request.started, 4)
+                if progress.response_started
                 else None,
                 "outcome": outcome,
-                "reason": error.message if error else request.last,
+                "reason": error.message if error else request.last_reason,
             },
         )
 
-    def _measure(
+    def _update_metrics(
         self, request: RequestState, answered: bool, error: IbisheadError | None
     ) -> None:
-        # platforms name no class of a request; its route tells the same
+        # The platform has no request classes, so the route name serves as the class.
         team, group = TeamId(request.service), ClassName(request.route.name)
         progress = request.progress
         self._metrics.observe(Measure.WAIT, team, group, request.turn_wait)
-        if progress.first:
-            first = progress.first - request.started
+        if progress.response_started:
+            first = progress.response_started - request.started
             self._metrics.observe(Measure.FIRST_TOKEN, team, group, first)
-        if progress.pause:
-            self._metrics.observe(Measure.BETWEEN_TOKENS, team, group, progress.pause)
+        if progress.max_gap:
+            self._metrics.observe(Measure.BETWEEN_TOKENS, team, group, progress.max_gap)
         match error:
             case None if answered:
                 end = Outcome.COMPLETED
--- a/src/ibishead/gateway/sending.py
+++ b/src/ibishead/gateway/sending.py
@@ -1,4 +1,4 @@
-"""Sends a call to one target and relays what comes back."""
+"""Sends a call to one target and relays the target's response."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,11 +7,11 @@
 
 from ibishead.clock import Clock
 from ibishead.errors import LinkLost
-from ibishead.gateway.book import TargetBook, TargetNotes
 from ibishead.gateway.calls import Call, Sending, TargetDialect, TargetHead
 from ibishead.gateway.connection import TargetConnection
-from ibishead.gateway.events import EventCutter
+from ibishead.gateway.events import EventSplitter
 from ibishead.gateway.pool import ConnectionPool
+from ibishead.gateway.tracker import TargetStats, TargetTracker
 from ibishead.headers import Headers
 from ibishead.ids import TargetId
 from ibishead.routing.routes import Repeatability, Route
@@ -20,76 +20,81 @@
 
 __all__ = [
     "Answered",
-    "Broken",
     "CallerLeftError",
+    "Failed",
     "NotRun",
     "Outcome",
     "Progress",
     "Sender",
 ]
 
-#: Seconds without a word after which a request that may go on elsewhere is taken from
-#: its target, at least; otherwise a multiple of what its route aims at.
-LEAST_PATIENCE = 1.5
+#: Minimum seconds without data after which a request that may be resent to another
+#: target is abandoned at this one. Longer time-outs are multiples of the route's
+#: objectives for the first event and for the gap between events.
+MIN_SILENCE_SECONDS = 1.5
 OBJECTIVE_FACTOR = 2.0
 GAP_FACTOR = 5.0
 
 
-#: The lowest status by which a target says that it has failed itself.
-FIRST_FAILURE = 500
+#: Lowest status code that reports a failure of the target itself.
+MIN_FAILURE_STATUS = 500
 
 
 class CallerLeftError(Exception):
-    """The caller has closed its side; nobody waits for an answer."""
+    """The caller has closed its connection and can't receive a response."""
 
 
 @dataclass(frozen=True)
 class Answered:
-    """The caller has a whole answer."""
+    """The caller has received a complete response."""
 
 
 @dataclass(frozen=True)
 class NotRun:
-    """It is proved that the target didn't and won't run the request.
+    """It is certain that the target did not and will not run the request.
 
-    :param arrived: the target has seen it.
+    :param received: the target has received the request.
     """
 
     reason: str
-    arrived: bool
+    received: bool
 
 
 @dataclass(frozen=True)
-class Broken:
-    """The target may have run the request, and no whole answer has come."""
+class Failed:
+    """The target may have run the request, but returned no complete response."""
 
     reason: str
 
 
-Outcome: TypeAlias = Answered | NotRun | Broken
+Outcome: TypeAlias = Answered | NotRun | Failed
 
 
 @dataclass
 class Progress:
-    """How far a request has come.
-
-    :ivar sends: sends after which the request may have run.
-    :ivar sending: a send is under way whose end isn't known yet.
-    :ivar first: when the answer began, monotonic seconds.
-    :ivar pause: seconds of the longest pause in the present target's answer.
-    :ivar failed: the present target has failed; none while its answer isn't whole.
-    :ivar events: whole events of the present target's answer.
-    :ivar read_time: seconds until the present target's answer began, 0 before.
+    """Progress of a request over all its sends.
+
+    :ivar last_event: id of the last event relayed to the caller.
+    :ivar uncertain_sends: sends after which the request may have run.
+    :ivar sending: a send is in progress and its outcome is not known yet.
+    :ivar response_started: monotonic seconds at which the first response began, 0
+        before.
+    :ivar max_gap: longest gap in seconds between events of the current target's
+        response.
+    :ivar event_count: complete events of the current target's response.
+    :ivar response_delay: seconds until the current target's response began, 0 before.
+    :ivar failed: whether the current target failed; ``None`` while its response is
+        incomplete.
     """
 
     exchange: Exchange
     last_event: str | None = None
-    sends: int = 0
+    uncertain_sends: int = 0
     sending: bool = False
-    first: float = 0.0
-    pause: float = 0.0
-    events: int = 0
-    read_time: float = 0.0
+    response_started: float = 0.0
+    max_gap: float = 0.0
+    event_count: int = 0
+    response_delay: float = 0.0
     failed: bool | None = None
     target: TargetId = TargetId("")
 
@@ -97,22 +102,22 @@
 class Sender:
     """Sends calls over pooled connections.
 
-    :param on_begin: called when an answer begins, with the seconds that it took.
-    :param on_limit: called with the limit that an answer names, or none.
+    :param on_response: called when a response begins, with the seconds since the send.
+    :param on_limit: called with the rate limit that a response names, or ``None``.
     """
 
     def __init__(
         self,
-        book: TargetBook,
+        tracker: TargetTracker,
         pool: ConnectionPool,
         dialect: TargetDialect,
         clock: Clock,
-        on_begin: Callable[[Call, Registration, float], None],
+        on_response: Callable[[Call, Registration, float], None],
         on_limit: Callable[[Call, Registration, float | None], None],
     ) -> None:
-        self._on_begin = on_begin
+        self._on_response = on_response
         self._on_limit = on_limit
-        self._book = book
+        self._tracker = tracker
         self._pool = pool
         self._dialect = dialect
         self._clock = clock
@@ -125,42 +130,43 @@
         progress: Progress,
         deadline: float,
     ) -> Outcome:
-        """Send a call to a target, and relay its answer if it is one.
+        """Send a call to a target and relay its response if it is a valid one.
 
-        :raises CallerLeftError: nobody waits any more.
+        :param deadline: monotonic seconds at which the request times out.
+        :raises CallerLeftError: the caller has closed its connection.
         """
-        notes = self._book.notes(target)
+        stats = self._tracker.stats(target)
         progress.target, progress.failed = target.target, None
-        progress.pause = progress.read_time = 0.0
+        progress.max_gap = progress.response_delay = 0.0
         try:
-            connection = await self._pool.take(target.address)
+            connection = await self._pool.acquire(target.address)
         except LinkLost as error:
-            self._book.note_unreached(notes, self._clock.monotonic())
-            return NotRun(error.message, arrived=False)
+            self._tracker.mark_unreachable(stats, self._clock.monotonic())
+            return NotRun(error.message, received=False)
         progress.sending = True
-        self._book.begin(notes, call.prompt_tokens)
+        self._tracker.begin_request(stats, call.prompt_tokens)
         started = self._clock.monotonic()
-        exchange = _SendState(call, route, target, connection, notes, started)
+        state = _SendState(call, route, target, connection, stats, started)
         try:
-            outcome = await self._exchange(exchange, progress, deadline)
+            outcome = await self._exchange(state, progress, deadline)
         except LinkLost as error:
-            outcome = Broken(error.message)
+            outcome = Failed(error.message)
         finally:
-            if not exchange.answering:
-                self._book.begin_answer(notes, call.prompt_tokens)
-            self._book.end(notes)
-            if not exchange.whole:
+            if not state.responding:
+                self._tracker.begin_response(stats, call.prompt_tokens)
+            self._tracker.end_request(stats)
+            if not state.complete:
                 connection.close()
         now = self._clock.monotonic()
         match outcome:
             case Answered():
-                progress.failed = exchange.failed
-                self._book.note_time(target.service, notes, now - started)
-            case Broken():
+                progress.failed = state.failed
+                self._tracker.record_duration(target.service, stats, now - started)
+            case Failed():
                 progress.failed = True
-                progress.sends += 1
+                progress.uncertain_sends += 1
         if progress.failed is not None:
-            self._book.note_outcome(notes, progress.failed, now)
+            self._tracker.record_outcome(stats, progress.failed, now)
         progress.sending = False
         return outcome
 
@@ -179,61 +185,63 @@
         )
         headers = self._dialect.make_headers(call, sending)
         try:
-            async with asyncio.timeout(self._head_patience(route, progress)):
-                status, answer = await state.connection.ask(
+            async with asyncio.timeout(self._find_head_timeout(route, progress)):
+                status, received = await state.connection.ask(
                     call.method, call.target, headers, call.body
                 )
         except TimeoutError:
-            return Broken("the target was silent")
-        head = self._dialect.read_head(call, status, answer)
+            return Failed("the target sent no response headers in time")
+        head = self._dialect.read_head(call, status, received)
         state.connection.idle_time = head.idle_time
         if head.load is not None:
-            self._book.note_told(state.notes, head.load, self._clock.monotonic())
+            self._tracker.record_load(state.stats, head.load, self._clock.monotonic())
         if head.genuine or (head.not_run and not head.misdirected):
             self._on_limit(call, state.target, head.rate_limit)
         if head.not_run:
-            return await self._take_refusal(state, head)
+            return await self._handle_refusal(state, head)
         if not head.genuine or head.encoded:
-            return Broken(f"an answer with status {status} that isn't the target's own")
-        state.failed = status >= FIRST_FAILURE
+            return Failed(
+                f"a response with status {status} that is not the target's own"
+            )
+        state.failed = status >= MIN_FAILURE_STATUS
         failed = not head.success
-        if failed and (progress.exchange.started or self._may_go_on(route, progress)):
-            return Broken(f"the target failed with status {status}")
+        if failed and (progress.exchange.started or self._can_resend(route, progress)):
+            return Failed(f"the target failed with status {status}")
         if route.kind is Repeatability.STREAM and head.success:
             return await self._relay_stream(state, head, progress)
         return await self._relay_whole(state, head, progress)
 
-    def _may_go_on(self, route: Route, progress: Progress) -> bool:
-        return route.repeatable and progress.sends + 1 < route.attempts
+    def _can_resend(self, route: Route, progress: Progress) -> bool:
+        return route.repeatable and progress.uncertain_sends + 1 < route.attempts
 
-    def _head_patience(self, route: Route, progress: Progress) -> float | None:
-        if not self._may_go_on(route, progress):
+    def _find_head_timeout(self, route: Route, progress: Progress) -> float | None:
+        if not self._can_resend(route, progress):
             return None
-        return max(LEAST_PATIENCE, OBJECTIVE_FACTOR * route.objective)
+        return max(MIN_SILENCE_SECONDS, OBJECTIVE_FACTOR * route.objective)
 
-    async def _take_refusal(self, state: "_SendState", head: TargetHead) -> Outcome:
+    async def _handle_refusal(self, state: "_SendState", head: TargetHead) -> Outcome:
         if head.misdirected and state.call.weights is not None:
-            # until the next report tells otherwise
-            state.notes.lacking.add(state.call.weights)
+            # Valid until the engine's next report with changed holdings.
+            state.stats.missing.add(state.call.weights)
         try:
             while await state.connection.read() is not None:
                 pass
         except LinkLost:
-            return NotRun(f"refused with status {head.status}", arrived=True)
-        self._keep(state)
-        return NotRun(f"refused with status {head.status}", arrived=True)
+            return NotRun(f"refused with status {head.status}", received=True)
+        self._release(state)
+        return NotRun(f"refused with status {head.status}", received=True)
 
     async def _relay_whole(
         self, state: "_SendState", head: TargetHead, progress: Progress
     ) -> Outcome:
-        pieces: list[bytes] = []
-        while (piece := await state.connection.read()) is not None:
-            pieces.append(piece)
-        self._note_answer(state, progress)
-        self._keep(state)
+        parts: list[bytes] = []
+        while (part := await state.connection.read()) is not None:
+            parts.append(part)
+        self._record_response_start(state, progress)
+        self._release(state)
         try:
             await progress.exchange.respond(
-                head.status, _drop_length(head.headers), b"".join(pieces)
+                head.status, _drop_content_length(head.headers), b"".join(parts)
             )
         except LinkLost as error:
             raise CallerLeftError from error
@@ -242,66 +250,79 @@
     async def _relay_stream(
         self, state: "_SendState", head: TargetHead, progress: Progress
     ) -> Outcome:
-        cutter = EventCutter(progress.last_event)
+        splitter = EventSplitter(progress.last_event)
         exchange = progress.exchange
-        patience = self._gap_patience(state.route, progress)
-        last = self._clock.monotonic()
+        timeout = self._find_gap_timeout(state.route, progress)
+        last_events_at = self._clock.monotonic()
         while True:
             try:
-                async with asyncio.timeout(patience):
+                async with asyncio.timeout(timeout):
                     data = await state.connection.read()
             except TimeoutError:
-                return Broken("the target's stream was silent")
-            whole = cutter.take_rest() if data is None else cutter.feed(data)
-            now = state.notes.heard_at = self._clock.monotonic()
-            if whole and state.answering:
-                progress.pause = max(progress.pause, now - last)
-            elif whole:
-                self._note_answer(state, progress)
-            last = now if whole else last
+                return Failed("the target's stream sent no data in time")
+            events = splitter.flush() if data is None else splitter.feed(data)
+            now = state.stats.last_data_at = self._clock.monotonic()
+            if events and state.responding:
+                progress.max_gap = max(progress.max_gap, now - last_events_at)
+            elif events:
+                self._record_response_start(state, progress)
+            last_events_at = now if events else last_events_at
             try:
-                if not exchange.started and (whole or data is None):
-                    await exchange.start(head.status, _drop_length(head.headers))
-                await exchange.send(whole)
-                progress.last_event, progress.events = cutter.last, cutter.count
+                if not exchange.started and (events or data is None):
+                    await exchange.start(
+                        head.status, _drop_content_length(head.headers)
+                    )
+                await exchange.send(events)
+                progress.last_event, progress.event_count = (
+                    splitter.last_id,
+                    splitter.count,
+                )
                 if data is None:
                     await exchange.finish()
             except LinkLost as error:
                 raise CallerLeftError from error
             if data is None:
-                self._keep(state)
+                self._release(state)
                 return Answered()
 
-    def _gap_patience(self, route: Route, progress: Progress) -> float | None:
-        if not self._may_go_on(route, progress):
+    def _find_gap_timeout(self, route: Route, progress: Progress) -> float | None:
+        if not self._can_resend(route, progress):
             return None
-        return max(LEAST_PATIENCE, GAP_FACTOR * route.gap_objective)
+        return max(MIN_SILENCE_SECONDS, GAP_FACTOR * route.gap_objective)
 
-    def _note_answer(self, state: "_SendState", progress: Progress) -> None:
-        if not state.answering:
-            state.answering = True
-            self._book.begin_answer(state.notes, state.call.prompt_tokens)
-            progress.read_time = self._clock.monotonic() - state.started
-            self._on_begin(state.call, state.target, progress.read_time)
-        progress.first = progress.first or self._clock.monotonic()
+    def _record_response_start(self, state: "_SendState", progress: Progress) -> None:
+        if not state.responding:
+            state.responding = True
+            self._tracker.begin_response(state.stats, state.call.prompt_tokens)
+            progress.response_delay = self._clock.monotonic() - state.started
+            self._on_response(state.call, state.target, progress.response_delay)
+        progress.response_started = progress.response_started or self._clock.monotonic()
 
-    def _keep(self, state: "_SendState") -> None:
-        state.whole = True
-        self._pool.give_back(state.target.address, state.connection)
+    def _release(self, state: "_SendState") -> None:
+        state.complete = True
+        self._pool.release(state.target.address, state.connection)
 
 
 @dataclass
 class _SendState:
+    """State of one send.
+
+    :ivar started: monotonic seconds at which the send began.
+    :ivar responding: the target's response has begun.
+    :ivar failed: the status code reports a failure of the target.
+    :ivar complete: the response was read to its end.
+    """
+
     call: Call
     route: Route
     target: Registration
     connection: TargetConnection
-    notes: TargetNotes
+    stats: TargetStats
     started: float
-    answering: bool = False
+    responding: bool = False
     failed: bool = False
-    whole: bool = False
+    complete: bool = False
 
 
-def _drop_length(headers: Headers) -> Headers:
+def _drop_content_length(headers: Headers) -> Headers:
     return tuple((k, v) for k, v in headers if k != "content-length")
--- a/src/ibishead/gateway/server.py
+++ b/src/ibishead/gateway/server.py
@@ -1,16 +1,16 @@
-"""One gateway: its listeners, what it learns, and its planned stop."""
+"""Server of a gateway: its listeners, its links and its graceful shutdown."""
 
 import asyncio
 import contextlib
 import logging
 
 from ibishead.clock import Clock
-from ibishead.gateway.book import TargetBook
 from ibishead.gateway.calls import CallerDialect, TargetDialect
 from ibishead.gateway.pipeline import Pipeline
 from ibishead.gateway.pool import ConnectionPool
 from ibishead.gateway.settings import GatewaySettings
 from ibishead.gateway.stewards import StewardLinks
+from ibishead.gateway.tracker import TargetTracker
 from ibishead.metrics import Metrics
 from ibishead.routing.feed import RegistryFeed
 from ibishead.routing.messages import MemberKind, MemberRecord
@@ -22,18 +22,19 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds for which a stopping gateway goes on taking connections at least: the
-#: balancer asks once a second and lets go after two answers of no.
-LEAVE_TIME = 2.3
+#: Minimum seconds for which a stopping gateway accepts connections. The load balancer
+#: probes once per second and removes a gateway after two negative responses.
+MIN_DRAIN_SECONDS = 2.3
 
-#: Seconds without a request after which a stopping gateway ends.
-QUIET_TIME = 0.4
+#: Seconds without a request after which a stopping gateway closes its listeners.
+IDLE_SECONDS = 0.4
 
-#: Seconds before the end of its grace at which a stopping gateway cuts what still runs.
-CUT_MARGIN = 0.3
+#: Seconds before the end of the grace period at which a stopping gateway aborts the
+#: requests that are still in progress.
+ABORT_MARGIN_SECONDS = 0.3
 
-#: Seconds between two sweeps of kept connections.
-SWEEP_INTERVAL = 0.5
+#: Seconds between two removals of expired connections and of deregistered targets.
+CLEANUP_INTERVAL_SECONDS = 0.5
 
 
 class Gateway:
@@ -49,15 +50,15 @@
         self._settings = settings
         self._clock = clock
         self._callers = callers
-        self._book = TargetBook()
+        self._tracker = TargetTracker()
         self._pool = ConnectionPool(clock)
         self._stewards = StewardLinks(
             settings.host,
             clock,
-            lambda report: self._book.take_report(report, clock.monotonic()),
-            lambda delay: self._book.take_delay(delay, clock.monotonic()),
-            lambda told: self._book.take_failures(told, clock.monotonic()),
-            lambda told: self._pipeline.take_limit(told),
+            lambda report: self._tracker.record_report(report, clock.monotonic()),
+            lambda delay: self._tracker.record_delay(delay, clock.monotonic()),
+            lambda report: self._tracker.record_failures(report, clock.monotonic()),
+            lambda limit: self._pipeline.apply_limit(limit),
         )
         member = MemberRecord(
             settings.host, MemberKind.GATEWAY, "", 0, settings.failure_domain
@@ -66,15 +67,15 @@
             member,
             settings.registries,
             clock,
-            on_routes=self._take_routes,
-            on_statements=self._take_statements,
-            on_members=self._meet_stewards,
+            on_routes=self._apply_routes,
+            on_statements=self._handle_statements,
+            on_members=self._connect_stewards,
         )
         self.metrics = Metrics("gateway")
         self._pipeline = Pipeline(
             settings.failure_domain,
             self.feed,
-            self._book,
+            self._tracker,
             self._pool,
             self._stewards,
             callers,
@@ -84,51 +85,53 @@
             self.metrics,
         )
         self._running = 0
-        self._quiet_since = clock.monotonic()
+        self._idle_since = clock.monotonic()
         self._stopping = False
-        self._web = WebServer(self._serve, Limits(connections=settings.connections))
-        self._door = WebServer(self._answer_readiness, Limits(connections=64))
-        self._sweeper: asyncio.Task[None] | None = None
+        self._server = WebServer(self._serve, Limits(connections=settings.connections))
+        self._readiness_server = WebServer(
+            self._answer_readiness, Limits(connections=64)
+        )
+        self._cleanup_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen, and begin to learn."""
+        """Start the links to the registries and the listeners."""
         self.feed.start()
-        await self._door.start(self._settings.readiness)
-        await self._web.start(self._settings.callers)
-        self._sweeper = asyncio.create_task(self._sweep())
+        await self._readiness_server.start(self._settings.readiness)
+        await self._server.start(self._settings.callers)
+        self._cleanup_task = asyncio.create_task(self._clean_up())
 
     def list_gauges(self) -> dict[str, float]:
-        """Return present values by name."""
+        """Return the current values of the gauges by name."""
         return {
             "running": self._running,
             "routes_version": self.feed.version,
             "registries_linked": len(self.feed.links),
             "targets_known": sum(1 for _ in self.feed.view),
             "connections_opened": self._pool.opened,
-            "targets_limited": self._book.count_limited(),
+            "targets_limited": self._tracker.count_limited(),
         }
 
     async def stop(self) -> None:
-        """Leave the balancer's rotation, finish every request, then end."""
-        began = self._clock.monotonic()
-        last = began + self._settings.grace - CUT_MARGIN
+        """Fail readiness probes, finish the requests in progress, then stop."""
+        started = self._clock.monotonic()
+        stop_at = started + self._settings.grace - ABORT_MARGIN_SECONDS
         self._stopping = True
-        self._pipeline.leave(last)
-        self._web.begin_stop()
-        logger.info("gateway leaves", extra={"running": self._running})
-        while (now := self._clock.monotonic()) < last:
-            quiet = not self._running and now - self._quiet_since >= QUIET_TIME
-            if quiet and now - began >= LEAVE_TIME:
+        self._pipeline.begin_drain(stop_at)
+        self._server.begin_stop()
+        logger.info("gateway draining", extra={"running": self._running})
+        while (now := self._clock.monotonic()) < stop_at:
+            idle = not self._running and now - self._idle_since >= IDLE_SECONDS
+            if idle and now - started >= MIN_DRAIN_SECONDS:
                 break
             await asyncio.sleep(0.05)
-        logger.info("gateway ends", extra={"running": self._running})
-        await self._web.stop(max(0.0, last - self._clock.monotonic()))
-        if self._sweeper is not None:
-            self._sweeper.cancel()
-            await asyncio.gather(self._sweeper, return_exceptions=True)
+        logger.info("gateway stopping", extra={"running": self._running})
+        await self._server.stop(max(0.0, stop_at - self._clock.monotonic()))
+        if self._cleanup_task is not None:
+            self._cleanup_task.cancel()
+            await asyncio.gather(self._cleanup_task, return_exceptions=True)
         await self._stewards.stop()
         await self.feed.stop()
-        await self._door.stop(0.0)
+        await self._readiness_server.stop(0.0)
         self._pool.close()
 
     async def _serve(self, exchange: Exchange) -> None:
@@ -137,7 +140,7 @@
             await self._pipeline.serve(exchange)
         finally:
             self._running -= 1
-            self._quiet_since = self._clock.monotonic()
+            self._idle_since = self._clock.monotonic()
 
     async def _answer_readiness(self, exchange: Exchange) -> None:
         if not self._callers.is_ready_question(exchange.request):
@@ -146,9 +149,9 @@
         ready = not self._stopping and self.feed.routes is not None
         await exchange.respond(200 if ready else 503, ())
 
-    def _take_routes(self, routes: RouteSet) -> None:
+    def _apply_routes(self, routes: RouteSet) -> None:
         limits = routes.limits
-        self._web.limits = Limits(
+        self._server.limits = Limits(
             header_bytes=limits.header_bytes,
             body_bytes=limits.body_bytes,
             header_seconds=limits.header_time,
@@ -156,7 +159,7 @@
             connections=self._settings.connections,
         )
 
-    def _take_statements(self, statements: tuple[Registration, ...]) -> None:
+    def _handle_statements(self, statements: tuple[Registration, ...]) -> None:
         for statement in statements:
             logger.info(
                 "target changed",
@@ -170,15 +173,15 @@
                 },
             )
             if statement.state is not TargetState.READY:
-                self._pool.drop(statement.address)
+                self._pool.close_address(statement.address)
 
-    def _meet_stewards(self, _: list[MemberRecord]) -> None:
+    def _connect_stewards(self, _: list[MemberRecord]) -> None:
         for member in self.feed.list_members(MemberKind.STEWARD):
-            self._stewards.meet(member)
+            self._stewards.connect(member)
 
-    async def _sweep(self) -> None:
+    async def _clean_up(self) -> None:
         with contextlib.suppress(asyncio.CancelledError):
             while True:
-                await asyncio.sleep(SWEEP_INTERVAL)
-                self._pool.sweep()
-                self._book.keep({found.target for found in self.feed.view})
+                await asyncio.sleep(CLEANUP_INTERVAL_SECONDS)
+                self._pool.close_expired()
+                self._tracker.retain({found.target for found in self.feed.view})
--- a/src/ibishead/gateway/settings.py
+++ b/src/ibishead/gateway/settings.py
@@ -13,11 +13,13 @@
 class GatewaySettings:
     """Settings of a gateway.
 
-    :param callers: where callers' connections arrive.
-    :param readiness: where the balancer asks whether to send more.
-    :param registries: link endpoints of the first registries.
-    :param grace: seconds from the order to stop until the process is killed.
-    :param retries: what all gateways together may send again.
+    :param callers: endpoint on which callers' connections are accepted.
+    :param readiness: endpoint on which the load balancer's readiness probes are
+        answered.
+    :param registries: link endpoints of the seed registries.
+    :param grace: seconds between the stop signal and the kill of the process.
+    :param retries: retry budget that all gateways share.
+    :param connections: maximum number of callers' connections.
     """
 
     host: HostId
--- a/src/ibishead/gateway/stewards.py
+++ b/src/ibishead/gateway/stewards.py
@@ -1,4 +1,8 @@
-"""A gateway's links to the stewards: reports come in, wishes for adapters go out."""
+"""Links from a gateway to the stewards of engines.
+
+Stewards send reports on their engines; the gateway requests turns for its requests. A
+turn is the permission to send one request to an engine.
+"""
 
 import asyncio
 import contextlib
@@ -29,52 +33,61 @@
 )
 from ibishead.routing.targets import Registration, WeightKey
 
-__all__ = ["HEARD_TIME", "StewardLinks", "TurnEnd"]
+__all__ = ["ACK_TIMEOUT_SECONDS", "StewardLinks", "TurnOutcome"]
 
 logger = logging.getLogger(__name__)
 
-#: Seconds in which a steward says that it has heard of a request. It takes
-#: milliseconds; a host that is slowed down needs some times as long.
-HEARD_TIME = 0.15
+#: Seconds within which a steward acknowledges a request for a turn. It takes
+#: milliseconds, and a few times as long on a slow host.
+ACK_TIMEOUT_SECONDS = 0.15
 
-#: Parts in which that time is waited for. A host that is late itself finds an answer
-#: unread once its time is up, and takes it in between two of them.
-HEARD_PARTS = 3
+#: Number of intervals into which the acknowledgement time-out is divided. On a gateway
+#: whose event loop is late, the time-out expires before a received acknowledgement is
+#: read; it is read between two intervals.
+ACK_INTERVALS = 3
 
-#: Seconds for which a steward that said nothing is asked for no turn. What its engine
-#: holds is sent there without meanwhile, while the engine brings events.
-MUTE_TIME = 1.0
+#: Seconds for which no turns are requested from a steward that sent no acknowledgement.
+#: Requests for weights that its engine holds are sent without a turn meanwhile, while
+#: the engine sends data.
+UNRESPONSIVE_SECONDS = 1.0
 
 
-class TurnEnd(Enum):
-    """How the wait for a turn has ended."""
+class TurnOutcome(Enum):
+    """Outcome of a request for a turn."""
 
-    GIVEN = "given"
+    GRANTED = "given"
     LATE = "late"
-    MUTE = "mute"
+    UNRESPONSIVE = "mute"
 
 
 @dataclass
-class _Asked:
+class _PendingTurn:
+    """A turn that was requested from a steward.
+
+    :ivar acknowledged: set when the steward has acknowledged the request.
+    :ivar finished: set when the steward has answered or its link was lost.
+    """
+
     address: str
     key: WeightKey
-    heard: asyncio.Event = field(default_factory=asyncio.Event)
-    ended: asyncio.Event = field(default_factory=asyncio.Event)
-    given: bool = False
+    acknowledged: asyncio.Event = field(default_factory=asyncio.Event)
+    finished: asyncio.Event = field(default_factory=asyncio.Event)
+    granted: bool = False
 
-    def end(self, given: bool) -> None:
-        self.given = given
-        self.heard.set()
-        self.ended.set()
+    def finish(self, granted: bool) -> None:
+        self.granted = granted
+        self.acknowledged.set()
+        self.finished.set()
 
 
 class StewardLinks:
-    """Keeps a link to each steward.
+    """Maintains a link to each steward.
 
-    :param on_report: called with each report of an engine.
+    :param on_report: called with each report on an engine.
     :param on_delay: called when the wait for a turn at an engine has changed.
-    :param on_failures: called when an engine fails more or less often.
-    :param on_limit: called when a steward keeps another limit, or none.
+    :param on_failures: called when the share of failures of an engine has changed.
+    :param on_limit: called when the rate limit that a steward enforces has changed or
+        was removed.
     """
 
     def __init__(
@@ -95,40 +108,40 @@
         self._on_limit = on_limit
         self._dial = dialer
         self._links: dict[str, Link] = {}
-        self._keepers: dict[Endpoint, asyncio.Task[None]] = {}
-        self._numbers = itertools.count(1)
-        self._asked: dict[int, _Asked] = {}
-        self._given_up: dict[int, _Asked] = {}
-        self._mute_until: dict[str, float] = {}
-        #: Addresses of engines whose stewards' links went silent and aren't back.
-        self._silenced: set[str] = set()
-
-    def meet(self, member: MemberRecord) -> None:
-        """Dial a steward, if it isn't linked already."""
+        self._link_tasks: dict[Endpoint, asyncio.Task[None]] = {}
+        self._turn_numbers = itertools.count(1)
+        self._pending: dict[int, _PendingTurn] = {}
+        self._abandoned: dict[int, _PendingTurn] = {}
+        self._unresponsive_until: dict[str, float] = {}
+        #: Addresses of engines whose stewards' links timed out and were not restored.
+        self._timed_out: set[str] = set()
+
+    def connect(self, member: MemberRecord) -> None:
+        """Start a link to a steward unless there is one."""
         endpoint = Endpoint(member.address, member.port)
-        if endpoint not in self._keepers:
-            task = asyncio.create_task(self._keep(endpoint, member))
-            self._keepers[endpoint] = task
+        if endpoint not in self._link_tasks:
+            task = asyncio.create_task(self._maintain_link(endpoint, member))
+            self._link_tasks[endpoint] = task
 
-    def reaches(self, address: str) -> bool:
-        """Return whether the steward of the engine at an address can be asked."""
+    def is_available(self, address: str) -> bool:
+        """Return whether turns can be requested for the engine at an address."""
         link = self._links.get(address)
         if link is None or link.closed:
             return False
-        return self._clock.monotonic() >= self._mute_until.get(address, 0.0)
+        return self._clock.monotonic() >= self._unresponsive_until.get(address, 0.0)
 
-    def is_mute(self, address: str) -> bool:
-        """Return whether a steward has just left a question unanswered, or went silent.
+    def is_unresponsive(self, address: str) -> bool:
+        """Return whether a steward sent no acknowledgement, or its link timed out.
 
-        Its host stands still or is out of reach, and so is the engine beside it. A
-        steward that has ended closes its link, and its engine may be well.
+        Its host is frozen or unreachable, and so is the engine on the same host. A
+        steward that has exited closes its link, and its engine may still work.
         """
         link = self._links.get(address)
         if link is None or link.closed:
-            return address in self._silenced
-        return self._clock.monotonic() < self._mute_until.get(address, 0.0)
+            return address in self._timed_out
+        return self._clock.monotonic() < self._unresponsive_until.get(address, 0.0)
 
-    async def ask_turn(
+    async def request_turn(
         self,
         address: str,
         key: WeightKey,
@@ -137,39 +150,46 @@
         wait: float,
         tokens: int = 0,
         due: float = 0.0,
-    ) -> TurnEnd:
+    ) -> TurnOutcome:
         """Wait until a request may be sent to an engine.
 
-        :param version: of the adapter, the oldest that the request may begin on.
-        :param wait: seconds after which the turn is of no use.
-        :param tokens: length of the prompt.
-        :param due: seconds until the answer should begin.
+        :param version: lowest adapter version that the request may begin on.
+        :param wait: seconds after which the turn is no longer needed.
+        :param tokens: length of the prompt in tokens.
+        :param due: seconds until the response should begin.
         """
         link = self._links.get(address)
         if link is None or link.closed:
-            return TurnEnd.MUTE
-        number = next(self._numbers)
-        asked = self._asked[number] = _Asked(address, key)
+            return TurnOutcome.UNRESPONSIVE
+        number = next(self._turn_numbers)
+        turn = self._pending[number] = _PendingTurn(address, key)
         link.send(AskTurn(number, key, version, wait, tokens, due))
         try:
-            if not await _comes_in_time(asked.heard, min(HEARD_TIME, wait)):
-                self._mute_until[address] = self._clock.monotonic() + MUTE_TIME
-                return TurnEnd.MUTE
+            if not await _wait_for_event(
+                turn.acknowledged, min(ACK_TIMEOUT_SECONDS, wait)
+            ):
+                self._unresponsive_until[address] = (
+                    self._clock.monotonic() + UNRESPONSIVE_SECONDS
+                )
+                return TurnOutcome.UNRESPONSIVE
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait):
-                    await asked.ended.wait()
+                    await turn.finished.wait()
         except asyncio.CancelledError:
-            if asked.given:
-                self._give_back(asked)
+            if turn.granted:
+                self._return_turn(turn)
             raise
         finally:
-            del self._asked[number]
-            if not asked.ended.is_set():
-                self._given_up[number] = asked
-        return TurnEnd.GIVEN if asked.given else TurnEnd.LATE
+            del self._pending[number]
+            if not turn.finished.is_set():
+                self._abandoned[number] = turn
+        return TurnOutcome.GRANTED if turn.granted else TurnOutcome.LATE
 
     def begin_use(self, address: str, key: WeightKey, tokens: int = 0) -> None:
-        """Tell a steward that a request is sent without a turn."""
+        """Notify a steward that a request is sent without a turn.
+
+        :param tokens: length of the prompt in tokens.
+        """
         link = self._links.get(address)
         if link is not None:
             link.send(BeginUse(key, tokens))
@@ -178,42 +198,47 @@
         self,
         address: str,
         key: WeightKey,
-        pause: float = 0.0,
+        max_gap: float = 0.0,
         failed: bool | None = None,
     ) -> None:
-        """Tell a steward that a request is over.
+        """Notify a steward that a request has ended.
 
-        :param pause: seconds of the longest pause in its answer.
-        :param failed: the engine failed; none where it didn't end the request.
+        :param max_gap: longest gap in seconds between events of the response.
+        :param failed: whether the engine failed, or ``None`` if the request ended for
+            another reason.
         """
         link = self._links.get(address)
         if link is not None:
-            link.send(EndUse(key, round(pause, 3), failed))
+            link.send(EndUse(key, round(max_gap, 3), failed))
 
-    def note_read(self, address: str, tokens: int, seconds: float) -> None:
-        """Tell a steward that its engine has read a prompt.
+    def notify_prompt_read(self, address: str, tokens: int, seconds: float) -> None:
+        """Notify a steward that its engine has read a prompt.
 
-        :param seconds: from the send to the first event, 0 where none came.
+        :param tokens: length of the prompt in tokens.
+        :param seconds: time from the send to the first event, 0 if there was none.
         """
         link = self._links.get(address)
         if link is not None:
             link.send(PromptRead(tokens, round(seconds, 4)))
 
-    def tell_limit(self, target: Registration, rate: float | None) -> None:
-        """Tell a steward what its engine's answer names as its limit."""
+    def notify_limit(self, target: Registration, rate: float | None) -> None:
+        """Notify a steward of the rate limit in a response of its engine.
+
+        :param rate: requests per second, or ``None`` for no limit.
+        """
         link = self._links.get(target.address)
         if link is not None:
             link.send(RateTold(target.target, rate))
 
     async def stop(self) -> None:
         """Close all links."""
-        for task in self._keepers.values():
+        for task in self._link_tasks.values():
             task.cancel()
-        await asyncio.gather(*self._keepers.values(), return_exceptions=True)
+        await asyncio.gather(*self._link_tasks.values(), return_exceptions=True)
 
-    async def _keep(self, endpoint: Endpoint, member: MemberRecord) -> None:
-        wait, reached = REDIAL_FIRST, self._clock.monotonic()
-        while self._clock.monotonic() - reached < FORGET_AFTER:
+    async def _maintain_link(self, endpoint: Endpoint, member: MemberRecord) -> None:
+        delay, last_linked = REDIAL_FIRST, self._clock.monotonic()
+        while self._clock.monotonic() - last_linked < FORGET_AFTER:
             try:
                 link = await self._dial(
                     endpoint,
@@ -223,36 +248,38 @@
                     None,
                 )
             except LinkLost as error:
-                logger.debug("steward not reached", extra={"reason": error.message})
+                logger.debug(
+                    "cannot connect to steward", extra={"reason": error.message}
+                )
                 if isinstance(error.__cause__, ConnectionRefusedError):
-                    # its host answers, so the engine there may be well
-                    self._silenced.discard(member.target)
+                    # The host responds, so the engine on it may work.
+                    self._timed_out.discard(member.target)
             else:
-                wait = REDIAL_FIRST
-                await self._listen(member.target, link)
-                reached = self._clock.monotonic()
-            await asyncio.sleep(wait)
-            wait = min(2 * wait, REDIAL_MOST)
-        self._silenced.discard(member.target)
-        del self._keepers[endpoint]
-
-    async def _listen(self, address: str, link: Link) -> None:
-        logger.info("steward linked", extra={"peer": link.peer.host})
+                delay = REDIAL_FIRST
+                await self._receive(member.target, link)
+                last_linked = self._clock.monotonic()
+            await asyncio.sleep(delay)
+            delay = min(2 * delay, REDIAL_MOST)
+        self._timed_out.discard(member.target)
+        del self._link_tasks[endpoint]
+
+    async def _receive(self, address: str, link: Link) -> None:
+        logger.info("steward link established", extra={"peer": link.peer.host})
         self._links[address] = link
-        self._silenced.discard(address)
+        self._timed_out.discard(address)
         try:
             async for message in link.receive():
-                self._take(message)
+                self._handle(message)
         finally:
             if self._links.get(address) is link:
                 del self._links[address]
                 if link.silenced:
-                    self._silenced.add(address)
-            self._forget_asked(address)
+                    self._timed_out.add(address)
+            self._cancel_turns(address)
             link.end()
-            logger.info("steward lost", extra={"peer": link.peer.host})
+            logger.info("steward link lost", extra={"peer": link.peer.host})
 
-    def _take(self, message: Message) -> None:
+    def _handle(self, message: Message) -> None:
         match message:
             case EngineReport():
                 self._on_report(message)
@@ -263,46 +290,46 @@
             case RateTold():
                 self._on_limit(message)
             case TurnNoted(number):
-                asked = self._asked.get(number)
-                if asked is not None:
-                    asked.heard.set()
-            case TurnAnswer(number, given):
-                self._end_wait(number, given)
+                turn = self._pending.get(number)
+                if turn is not None:
+                    turn.acknowledged.set()
+            case TurnAnswer(number, granted):
+                self._finish_turn(number, granted)
             case _:
                 logger.warning(
                     "unexpected message", extra={"kind": type(message).__name__}
                 )
 
-    def _end_wait(self, number: int, given: bool) -> None:
-        asked = self._asked.get(number)
-        if asked is not None:
-            asked.end(given)
+    def _finish_turn(self, number: int, granted: bool) -> None:
+        turn = self._pending.get(number)
+        if turn is not None:
+            turn.finish(granted)
             return
-        left = self._given_up.pop(number, None)
-        if given and left is not None:
-            self._give_back(left)
-
-    def _give_back(self, asked: _Asked) -> None:
-        # Nobody waits any more, but the steward counts the adapter and a slot as in use
-        # and the prompt as unread.
-        self.note_read(asked.address, 0, 0.0)
-        self.end_use(asked.address, asked.key)
-
-    def _forget_asked(self, address: str) -> None:
-        for asked in self._asked.values():
-            if asked.address == address:
-                asked.end(False)
-        self._given_up = {
-            number: asked
-            for number, asked in self._given_up.items()
-            if asked.address != address
+        abandoned = self._abandoned.pop(number, None)
+        if granted and abandoned is not None:
+            self._return_turn(abandoned)
+
+    def _return_turn(self, turn: _PendingTurn) -> None:
+        # The turn is no longer needed, but the steward counts the adapter and a slot as
+        # in use and the prompt as unread.
+        self.notify_prompt_read(turn.address, 0, 0.0)
+        self.end_use(turn.address, turn.key)
+
+    def _cancel_turns(self, address: str) -> None:
+        for turn in self._pending.values():
+            if turn.address == address:
+                turn.finish(False)
+        self._abandoned = {
+            number: turn
+            for number, turn in self._abandoned.items()
+            if turn.address != address
         }
 
 
-async def _comes_in_time(event: asyncio.Event, seconds: float) -> bool:
-    for _ in range(HEARD_PARTS):
+async def _wait_for_event(event: asyncio.Event, seconds: float) -> bool:
+    for _ in range(ACK_INTERVALS):
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(seconds / HEARD_PARTS):
+            async with asyncio.timeout(seconds / ACK_INTERVALS):
                 await event.wait()
         if event.is_set():
             return True
--- /dev/null
+++ b/src/ibishead/gateway/tracker.py
@@ -0,0 +1,342 @@
+"""Per-target state of a gateway: reports, requests in flight and statistics."""
+
+import logging
+from collections import Counter
+from collections.abc import Collection
+from dataclasses import dataclass, field, replace
+
+from ibishead.decisions.choice import AdapterPlace, Candidate
+from ibishead.decisions.health import FailureShare
+from ibishead.decisions.modelwait import expect_start
+from ibishead.decisions.readspeed import FIRST_RATE
+from ibishead.decisions.sendrate import SendRate
+from ibishead.gateway.calls import TargetLoadTold
+from ibishead.gateway.stewards import ACK_TIMEOUT_SECONDS
+from ibishead.ids import TargetId
+from ibishead.routing.messages import EngineReport, FailuresTold, PromptDelay
+from ibishead.routing.routes import EngineSpec
+from ibishead.routing.targets import Registration, WeightKey, list_adapters
+
+__all__ = ["TargetStats", "TargetTracker"]
+
+logger = logging.getLogger(__name__)
+
+#: Seconds for which a reported load is valid. Requests from other gateways change the
+#: load continuously.
+LOAD_VALID_SECONDS = 0.6
+
+#: Weight of the newest duration in the moving average.
+DURATION_WEIGHT = 0.1
+
+#: Seconds for which a target is not selected after a failed connection attempt.
+UNREACHABLE_SECONDS = 1.5
+
+#: Seconds since an engine last sent data within which it counts as responsive although
+#: its steward is unresponsive. Streams send several events in this time. Data received
+#: before the request that the steward failed to acknowledge proves nothing, so the time
+#: equals the steward's acknowledgement time-out.
+RESPONSIVE_SECONDS = ACK_TIMEOUT_SECONDS
+
+#: Minimum seconds to expect until a model is loaded while its engine has not reported
+#: it.
+MIN_MODEL_WAIT_SECONDS = 0.05
+
+#: Seconds without a statement from a target at any registry after which it counts as
+#: silent. Three consecutive statements are lost by then.
+SILENT_AFTER_SECONDS = 4.5
+
+
+@dataclass
+class TargetStats:
+    """Statistics on one incarnation of a target.
+
+    :param incarnation: milliseconds since 1970 at which the target started.
+    :param in_flight: requests of this gateway that are in progress there.
+    :param unread_tokens: prompt tokens of the requests of this gateway whose responses
+        have not begun.
+    :param sent_since_load: requests sent since the load was last reported.
+    :param load: running and queued requests, as last reported.
+    :param load_at: monotonic seconds at which the load was last reported.
+    :param failures: share of failures in the responses to this gateway.
+    :param reported_failures: share of failures in the responses to all gateways, as
+        reported by the steward.
+    :param unreachable_until: monotonic seconds until which the target is not selected.
+    :param mean_duration: moving average of the seconds that a request takes.
+    :param held: newest version of each adapter that this incarnation has held.
+    :param awaited: number of this gateway's requests that wait for each adapter there.
+    :param prompt_wait: seconds that a new prompt waits for its turn, as last reported
+        by the steward; it decreases as time passes.
+    :param prompt_wait_at: monotonic seconds at which `prompt_wait` was reported.
+    :param last_data_at: monotonic seconds at which a response last brought data.
+    :param missing: weights that the target has rejected as not present; cleared when a
+        report shows other holdings.
+    :param rate_limit: requests per second that the target accepts from all callers
+        together, by its newest response, or ``None`` if it names no limit.
+    :param send_rate: limiter for this gateway's share of that limit.
+    """
+
+    incarnation: int
+    in_flight: int = 0
+    unread_tokens: int = 0
+    sent_since_load: int = 0
+    load: int = 0
+    load_at: float = -LOAD_VALID_SECONDS
+    failures: FailureShare = field(default_factory=FailureShare)
+    reported_failures: FailureShare = field(default_factory=FailureShare)
+    unreachable_until: float = 0.0
+    mean_duration: float = 0.0
+    report: EngineReport | None = None
+    report_at: float = 0.0
+    held: dict[WeightKey, int] = field(default_factory=dict)
+    awaited: Counter[WeightKey] = field(default_factory=Counter)
+    prompt_wait: float = 0.0
+    prompt_wait_at: float = 0.0
+    last_data_at: float = -RESPONSIVE_SECONDS
+    missing: set[WeightKey] = field(default_factory=set)
+    rate_limit: float | None = None
+    send_rate: SendRate = field(default_factory=SendRate)
+
+
+class TargetTracker:
+    """Tracks the state of all targets of this gateway."""
+
+    def __init__(self) -> None:
+        self._stats: dict[TargetId, TargetStats] = {}
+        self._mean_durations: dict[str, float] = {}
+
+    def stats(self, target: Registration) -> TargetStats:
+        """Return the statistics on a target's current incarnation."""
+        return self._find_stats(target.target, target.born)
+
+    def record_report(self, report: EngineReport, now: float) -> None:
+        """Record a report that a steward has read from its engine."""
+        stats = self._find_stats(report.target, report.born)
+        if stats.report is None or stats.report.holdings != report.holdings:
+            stats.missing.clear()
+            stats.held.update(list_adapters(report.holdings))
+        stats.report, stats.report_at = report, now
+        stats.load = report.running + report.queued
+        stats.load_at = now
+        stats.sent_since_load = 0
+
+    def record_delay(self, delay: PromptDelay, now: float) -> None:
+        """Record how long prompts wait for their turn at an engine."""
+        stats = self._stats.get(delay.target)
+        if stats is not None:
+            stats.prompt_wait, stats.prompt_wait_at = delay.seconds, now
+
+    def begin_request(self, stats: TargetStats, prompt_tokens: int) -> None:
+        """Count a request that is being sent."""
+        stats.in_flight += 1
+        stats.sent_since_load += 1
+        stats.unread_tokens += prompt_tokens
+
+    def begin_response(self, stats: TargetStats, prompt_tokens: int) -> None:
+        """Count a prompt as read, as its response has begun or its send has ended."""
+        stats.unread_tokens -= prompt_tokens
+
+    def end_request(self, stats: TargetStats) -> None:
+        """Count a request as finished."""
+        stats.in_flight -= 1
+
+    def record_load(self, stats: TargetStats, load: TargetLoadTold, now: float) -> None:
+        """Record the load that a response reports."""
+        stats.load = load.running + load.waiting
+        stats.load_at = now
+        stats.sent_since_load = 0
+
+    def record_limit(
+        self,
+        target: Registration,
+        rate: float | None,
+        gateways: int,
+        now: float,
+        offset: float,
+    ) -> None:
+        """Record the rate limit that a response names, or that it names none.
+
+        :param rate: requests per second, or ``None`` for no limit.
+        :param gateways: number of gateways that share the limit.
+        :param offset: fraction of a period until this gateway's first request. It
+            spreads the requests of gateways that learn of the limit simultaneously.
+        """
+        stats = self.stats(target)
+        stats.send_rate.limit(None if rate is None else rate / gateways, now, offset)
+        if rate == stats.rate_limit:
+            return
+        stats.rate_limit = rate
+        logger.info(
+            "target set a rate limit"
+            if rate is not None
+            else "target removed its rate limit",
+            extra={
+                "target": target.target,
+                "service": target.service,
+                "requests_a_second": rate,
+            },
+        )
+
+    def count_limited(self) -> int:
+        """Return the number of targets that name a rate limit."""
+        return sum(1 for s in self._stats.values() if s.rate_limit is not None)
+
+    def begin_wait(self, stats: TargetStats, key: WeightKey) -> None:
+        """Count a request that waits for an adapter at a target."""
+        stats.awaited[key] += 1
+
+    def end_wait(self, stats: TargetStats, key: WeightKey) -> None:
+        """Count such a wait as finished."""
+        stats.awaited[key] -= 1
+        if not stats.awaited[key]:
+            del stats.awaited[key]
+
+    def record_outcome(self, stats: TargetStats, failed: bool, now: float) -> None:
+        """Count a response as a success or a failure."""
+        stats.failures.note(failed, now)
+
+    def record_failures(self, report: FailuresTold, now: float) -> None:
+        """Record the share of failures in an engine's responses to all gateways."""
+        stats = self._stats.get(report.target)
+        if stats is not None:
+            stats.reported_failures.set(report.share, now)
+
+    def record_duration(self, service: str, stats: TargetStats, seconds: float) -> None:
+        """Record how long a complete request took."""
+        stats.mean_duration = _update_mean(stats.mean_duration, seconds)
+        self._mean_durations[service] = _update_mean(
+            self._mean_durations.get(service, 0.0), seconds
+        )
+
+    def mark_unreachable(self, stats: TargetStats, now: float) -> None:
+        """Exclude a target from selection for a while after a failed connection."""
+        stats.unreachable_until = now + UNREACHABLE_SECONDS
+
+    def is_responsive(self, stats: TargetStats, now: float) -> bool:
+        """Return whether a target has sent data recently."""
+        return now - stats.last_data_at < RESPONSIVE_SECONDS
+
+    def mean_duration(self, service: str) -> float:
+        """Return the average seconds that a request of a service takes."""
+        return self._mean_durations.get(service, 0.0)
+
+    def make_candidate(
+        self,
+        target: Registration,
+        last_heard: float,
+        now: float,
+        weights: WeightKey | None,
+        min_version: int,
+        manageable: bool,
+        spec: EngineSpec | None = None,
+        steward_unresponsive: bool = False,
+    ) -> Candidate:
+        """Return the data on a target that the selection compares.
+
+        :param last_heard: monotonic seconds at which any registry last received a
+            statement from the target.
+        :param weights: weights that the request needs, or ``None`` if it needs none.
+        :param min_version: lowest adapter version that the request may begin on.
+        :param manageable: the target's steward is linked and takes requests for turns.
+        :param spec: capacity of an engine of the service.
+        :param steward_unresponsive: the target's steward leaves requests for turns
+            unacknowledged.
+        """
+        stats = self.stats(target)
+        busy = stats.in_flight
+        if now - stats.load_at < LOAD_VALID_SECONDS:
+            busy = max(busy, stats.load + stats.sent_since_load)
+        mean = self._mean_durations.get(target.service, 0.0)
+        pace = (
+            stats.mean_duration / mean if mean > 0 and stats.mean_duration > 0 else 1.0
+        )
+        read_rate = stats.report.read_rate if stats.report is not None else 0.0
+        place = self._find_place(target, stats, weights, min_version, manageable)
+        if not place.serving:
+            place = replace(place, model_wait=_find_model_wait(stats, spec, now))
+        return Candidate(
+            target.target,
+            target.domain,
+            busy,
+            max(1, target.slots),
+            max(0, stats.unread_tokens),
+            min(4.0, max(0.25, pace)),
+            max(stats.failures.read(now), stats.reported_failures.read(now)),
+            silent=now - last_heard > SILENT_AFTER_SECONDS,
+            unreached=now < stats.unreachable_until
+            or (steward_unresponsive and not self.is_responsive(stats, now)),
+            prompt_wait=max(0.0, stats.prompt_wait - (now - stats.prompt_wait_at)),
+            read_rate=read_rate or FIRST_RATE,
+            # A linked steward enforces the limit itself and includes it in the delays
+            # that it reports.
+            share_wait=0.0
+            if weights is not None and manageable
+            else stats.send_rate.wait(now),
+            adapter=place,
+        )
+
+    def retain(self, known: Collection[TargetId]) -> None:
+        """Discard the statistics on all other targets.
+
+        Targets come and go continuously, and the statistics include every adapter that
+        each one has held. Without this, the gateway's memory grows until the process is
+        killed.
+        """
+        for target in self._stats.keys() - known:
+            del self._stats[target]
+
+    def _find_stats(self, target: TargetId, incarnation: int) -> TargetStats:
+        found = self._stats.get(target)
+        if found is None or found.incarnation != incarnation:
+            found = self._stats[target] = TargetStats(incarnation)
+        return found
+
+    def _find_place(
+        self,
+        target: Registration,
+        stats: TargetStats,
+        weights: WeightKey | None,
+        min_version: int,
+        manageable: bool,
+    ) -> AdapterPlace:
+        if weights is None:
+            return AdapterPlace(resident=True)
+        report = stats.report
+        holdings = report.holdings if report is not None else target.holdings
+        version, serving = None, False
+        for holding in holdings:
+            if holding.model == weights.model:
+                serving = True
+                for ref in holding.adapters:
+                    if ref.name == weights.adapter:
+                        version = ref.version
+        resident = version is not None and version >= min_version
+        if not weights.adapter:
+            resident = serving
+        awaited = set(stats.awaited)
+        if report is not None:
+            awaited.update(report.wished)
+            awaited.difference_update(key for key, _ in report.coming)
+        loading = report is not None and any(key == weights for key, _ in report.coming)
+        return AdapterPlace(
+            resident=resident and weights not in stats.missing,
+            coming=loading and manageable,
+            recent=stats.held.get(weights, -1) >= min_version,
+            outdated=version is not None and not resident,
+            room=report.free_slots if report is not None else 1,
+            wished=weights in awaited,
+            wishes=len(awaited),
+            serving=serving,
+            manageable=manageable,
+        )
+
+
+def _find_model_wait(stats: TargetStats, spec: EngineSpec | None, now: float) -> float:
+    report = stats.report
+    if report is None or not report.model_wait:
+        return expect_start(spec)
+    # A load that exceeds the steward's estimate may finish at any moment.
+    return max(MIN_MODEL_WAIT_SECONDS, report.model_wait - (now - stats.report_at))
+
+
+def _update_mean(mean: float, seconds: float) -> float:
+    return seconds if mean <= 0 else mean + DURATION_WEIGHT * (seconds - mean)
--- a/tests/gateway/test_connection.py
+++ b/tests/gateway/test_connection.py
@@ -1,4 +1,4 @@
-"""A connection to targets that answer wrongly, late, twice or not at all."""
+"""Client connections to targets with invalid, late, duplicate or missing responses."""
 
 import asyncio
 import socket
@@ -15,10 +15,10 @@
 
 
 class RawTarget:
-    """Answers each request with the next of some bytes."""
+    """A server that sends the next of the given byte strings for each request."""
 
-    def __init__(self, *answers: bytes, then: str = "keep") -> None:
-        self._answers = list(answers)
+    def __init__(self, *responses: bytes, then: str = "keep") -> None:
+        self._responses = list(responses)
         self._then = then
         self.accepted = 0
 
@@ -31,9 +31,9 @@
 
     async def _serve(self, reader, writer) -> None:
         self.accepted += 1
-        for answer in self._answers:
+        for response in self._responses:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer)
+            writer.write(response)
         if self._then == "close":
             writer.close()
         elif self._then == "reset":
@@ -45,8 +45,8 @@
 async def exchange(connection: TargetConnection) -> tuple[int, bytes]:
     status, _ = await connection.ask("GET", "/", (("host", "x"),), b"")
     body = b""
-    while (piece := await connection.read()) is not None:
-        body += piece
+    while (part := await connection.read()) is not None:
+        body += part
     return status, body
 
 
@@ -59,7 +59,9 @@
         (UNFRAMED, "close", b"ok", False),
     ],
 )
-async def test_whole_answers_and_what_follows_them(answer, then, body, reusable):
+async def test_complete_responses_and_reuse_of_the_connection(
+    answer, then, body, reusable
+):
     async with RawTarget(answer, then=then) as endpoint:
         connection = await TargetConnection.open(endpoint)
         assert await exchange(connection) == (200, body)
@@ -76,7 +78,7 @@
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", "close"),
     ],
 )
-async def test_an_answer_that_is_not_whole_never_looks_whole(answer, then):
+async def test_an_incomplete_response_raises_link_lost(answer, then):
     async with RawTarget(answer, then=then) as endpoint:
         connection = await TargetConnection.open(endpoint)
         with pytest.raises(LinkLost):
@@ -84,7 +86,7 @@
         assert connection.closed
 
 
-async def test_an_unframed_answer_that_is_reset_is_not_whole():
+async def test_a_reset_during_a_response_without_length_raises_link_lost():
     async with RawTarget(UNFRAMED, then="wait") as endpoint:
         connection = await TargetConnection.open(endpoint)
         await connection.ask("GET", "/", (("host", "x"),), b"")
@@ -94,8 +96,11 @@
             await connection.read()
 
 
-async def test_bytes_that_nobody_asked_for_end_a_kept_connection():
-    """A caller gets the answer to somebody else's request."""
+async def test_bytes_outside_an_exchange_close_an_idle_connection():
+    """A late or duplicate response must close an idle connection.
+
+    Otherwise, the next caller would receive a response to another request.
+    """
     async with RawTarget(WHOLE, then="keep") as endpoint:
         connection = await TargetConnection.open(endpoint)
         await exchange(connection)
@@ -106,7 +111,7 @@
             await exchange(connection)
 
 
-async def test_a_kept_connection_serves_again():
+async def test_an_idle_connection_is_reused():
     target = RawTarget(WHOLE, WHOLE)
     async with target as endpoint:
         connection = await TargetConnection.open(endpoint)
@@ -115,35 +120,38 @@
         assert target.accepted == 1
 
 
-async def test_nobody_there_is_told_before_anything_is_sent():
+async def test_a_refused_connection_raises_link_lost():
     async with RawTarget() as endpoint:
         pass
     with pytest.raises(LinkLost):
         await TargetConnection.open(endpoint)
 
 
-def read_all(accepted: socket.socket) -> None:
+def read_to_end(accepted: socket.socket) -> None:
     while accepted.recv(1000):
         pass
 
 
-async def test_a_target_sees_that_nobody_waits_for_a_request_any_more():
-    """A target runs requests seconds after their callers have left."""
+async def test_an_abandoned_request_resets_the_connection():
+    """The connection must be reset when a request is abandoned.
+
+    Otherwise, a target runs requests seconds after their callers have disconnected.
+    """
     listener = socket.create_server(("127.0.0.1", 0))
     connection = await TargetConnection.open(Endpoint(*listener.getsockname()))
-    asking = asyncio.create_task(exchange(connection))
+    exchange_task = asyncio.create_task(exchange(connection))
     accepted, _ = listener.accept()
     with accepted, listener:
         await asyncio.sleep(0.05)
         connection.close()
         with pytest.raises(LinkLost):
-            await asking
+            await exchange_task
         await asyncio.sleep(0.05)
         with pytest.raises(ConnectionResetError):
-            read_all(accepted)
+            read_to_end(accepted)
 
 
-async def test_a_connection_that_is_idle_is_closed_in_order():
+async def test_an_idle_connection_is_closed_without_a_reset():
     listener = socket.create_server(("127.0.0.1", 0))
     connection = await TargetConnection.open(Endpoint(*listener.getsockname()))
     accepted, _ = listener.accept()
--- a/tests/gateway/test_events.py
+++ b/tests/gateway/test_events.py
@@ -1,10 +1,10 @@
-"""Cutting a stream into whole events, wherever the pieces end."""
+"""Splitting a stream into complete events at arbitrary chunk boundaries."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ibishead.gateway.events import EventCutter
+from ibishead.gateway.events import EventSplitter
 
 
 def make_stream(count: int) -> bytes:
@@ -12,18 +12,18 @@
 
 
 @given(st.integers(1, 6), st.lists(st.integers(0, 200), max_size=8))
-def test_every_cut_gives_the_same_bytes_in_whole_events(count, cuts):
+def test_any_chunking_yields_the_same_bytes_in_complete_events(count, cuts):
     stream = make_stream(count)
-    places = sorted({min(cut, len(stream)) for cut in cuts} | {0, len(stream)})
-    cutter = EventCutter()
-    passed = b""
-    for start, end in zip(places, places[1:], strict=False):
-        whole = cutter.feed(stream[start:end])
-        assert whole == b"" or whole.endswith(b"\n\n")
-        passed += whole
-    assert passed == stream
-    assert cutter.take_rest() == b""
-    assert cutter.last == str(count)
+    bounds = sorted({min(cut, len(stream)) for cut in cuts} | {0, len(stream)})
+    splitter = EventSplitter()
+    output = b""
+    for start, end in zip(bounds, bounds[1:], strict=False):
+        events = splitter.feed(stream[start:end])
+        assert events == b"" or events.endswith(b"\n\n")
+        output += events
+    assert output == stream
+    assert splitter.flush() == b""
+    assert splitter.last_id == str(count)
 
 
 @pytest.mark.parametrize(
@@ -35,23 +35,26 @@
         (b"id: 1\ndata: a\n\nid: 2\nda", "1"),
     ],
 )
-def test_the_last_whole_event_is_known(data, last):
-    cutter = EventCutter()
-    cutter.feed(data)
-    assert cutter.last == last
-
-
-def test_a_broken_event_is_not_passed_on():
-    """A caller sees an event twice, the first time in half."""
-    cutter = EventCutter()
-    assert cutter.feed(b"id: 1\ndata: a\n\nid: 2\ndata:") == b"id: 1\ndata: a\n\n"
-    other = EventCutter(cutter.last)
-    assert other.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
-
-
-def test_whole_events_are_counted():
-    cutter = EventCutter()
-    cutter.feed(b"id: 1\n\nid: 2\n\nid: 3")
-    assert cutter.count == 2
-    cutter.feed(b"\n\n")
-    assert cutter.count == 3
+def test_last_id_is_that_of_the_last_complete_event(data, last):
+    splitter = EventSplitter()
+    splitter.feed(data)
+    assert splitter.last_id == last
+
+
+def test_a_partial_event_is_not_relayed():
+    """A partial event must not be relayed, as another target sends it again.
+
+    The caller would receive a truncated event followed by the complete one.
+    """
+    splitter = EventSplitter()
+    assert splitter.feed(b"id: 1\ndata: a\n\nid: 2\ndata:") == b"id: 1\ndata: a\n\n"
+    resumed = EventSplitter(splitter.last_id)
+    assert resumed.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
+
+
+def test_complete_events_are_counted():
+    splitter = EventSplitter()
+    splitter.feed(b"id: 1\n\nid: 2\n\nid: 3")
+    assert splitter.count == 2
+    splitter.feed(b"\n\n")
+    assert splitter.count == 3
--- a/tests/gateway/test_pipeline.py
+++ b/tests/gateway/test_pipeline.py
@@ -1,4 +1,4 @@
-"""The way of a request through a gateway, with targets that fail in every way."""
+"""Requests through a gateway's pipeline to targets that fail in various ways."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,12 +10,12 @@
 from ibishead.decisions.holding import HOLD_LEAST
 from ibishead.decisions.retry import BudgetShare
 from ibishead.errors import LinkLost
-from ibishead.gateway.book import TargetBook
-from ibishead.gateway.choosing import LEARN_TIME
+from ibishead.gateway.choosing import DISCOVERY_SECONDS
 from ibishead.gateway.connection import TargetConnection
 from ibishead.gateway.pipeline import Pipeline
 from ibishead.gateway.pool import ConnectionPool
-from ibishead.gateway.stewards import StewardLinks, TurnEnd
+from ibishead.gateway.stewards import StewardLinks, TurnOutcome
+from ibishead.gateway.tracker import TargetTracker
 from ibishead.headers import find_header
 from ibishead.ids import FailureDomain, HostId, ModelName, ServiceName, TargetId
 from ibishead.links import Endpoint
@@ -39,8 +39,8 @@
 Behaviour = Callable[[Exchange, str], Awaitable[None]]
 
 
-async def answer_well(exchange: Exchange, request: str) -> None:
-    await exchange.respond(200, _own(request), b"done")
+async def respond(exchange: Exchange, request: str) -> None:
+    await exchange.respond(200, _make_own_headers(request), b"done")
 
 
 async def refuse(exchange: Exchange, request: str) -> None:
@@ -48,49 +48,51 @@
 
 
 async def fail(exchange: Exchange, request: str) -> None:
-    await exchange.respond(500, _own(request), b"broken")
+    await exchange.respond(500, _make_own_headers(request), b"broken")
 
 
-async def refuse_late(exchange: Exchange, request: str) -> None:
+async def refuse_after_delay(exchange: Exchange, request: str) -> None:
     await asyncio.sleep(0.1)
     await refuse(exchange, request)
 
 
-async def answer_with_limit(exchange: Exchange, request: str) -> None:
+async def respond_with_limit(exchange: Exchange, request: str) -> None:
     limit = (("server-limit", "0.5"),)
-    await exchange.respond(200, (*_own(request), *limit), b"done")
+    await exchange.respond(200, (*_make_own_headers(request), *limit), b"done")
 
 
 async def reset(exchange: Exchange, request: str) -> None:
     exchange._connection._writer.transport.abort()
 
 
-async def answer_another(exchange: Exchange, request: str) -> None:
-    await exchange.respond(200, _own("other"), b"done")
+async def respond_to_other_request(exchange: Exchange, request: str) -> None:
+    await exchange.respond(200, _make_own_headers("other"), b"done")
 
 
-async def answer_without_mark(exchange: Exchange, request: str) -> None:
+async def respond_without_stamp(exchange: Exchange, request: str) -> None:
     await exchange.respond(200, (("request-id", request),), b"done")
 
 
-async def answer_encoded(exchange: Exchange, request: str) -> None:
-    await exchange.respond(200, (*_own(request), ("content-encoding", "x")), b"done")
+async def respond_encoded(exchange: Exchange, request: str) -> None:
+    await exchange.respond(
+        200, (*_make_own_headers(request), ("content-encoding", "x")), b"done"
+    )
 
 
-async def be_silent(exchange: Exchange, request: str) -> None:
+async def never_respond(exchange: Exchange, request: str) -> None:
     await exchange.gone.wait()
 
 
-async def stream_well(exchange: Exchange, request: str) -> None:
+async def stream_completely(exchange: Exchange, request: str) -> None:
     await _stream(exchange, request, 4)
 
 
-async def stream_half(exchange: Exchange, request: str) -> None:
+async def stream_and_reset(exchange: Exchange, request: str) -> None:
     await _stream(exchange, request, 2, b"id: 3\nda")
     exchange._connection._writer.transport.abort()
 
 
-async def stream_then_stall(exchange: Exchange, request: str) -> None:
+async def stream_and_stall(exchange: Exchange, request: str) -> None:
     await _stream(exchange, request, 2, b"id: 3\nda")
     await exchange.gone.wait()
 
@@ -99,7 +101,7 @@
     exchange: Exchange, request: str, last: int, rest: bytes | None = None
 ) -> None:
     first = int(find_header(exchange.request.headers, "last-event-id") or 0) + 1
-    await exchange.start(200, _own(request))
+    await exchange.start(200, _make_own_headers(request))
     for number in range(first, last + 1):
         await exchange.send(b"id: %d\ndata: x\n\n" % number)
     if rest is None:
@@ -109,15 +111,15 @@
         await asyncio.sleep(0.05)
 
 
-def _own(request: str):
+def _make_own_headers(request: str):
     return (("request-id", request), ("response-stamp", "s"))
 
 
 WHOLE_STREAM = b"".join(b"id: %d\ndata: x\n\n" % n for n in range(1, 5))
 
 
-class Setting:
-    """A gateway's pipeline before targets that behave as they are told, in turn."""
+class Fixture:
+    """A gateway's pipeline with targets; each request gets the next behaviour."""
 
     def __init__(self, kind: Repeatability, *behaviours: Behaviour, **route) -> None:
         self._behaviours = list(behaviours)
@@ -138,11 +140,11 @@
         services = (ServiceSpec(ServiceName("s"), "/h", 9),)
         feed.routes = RouteSet(1, (Route(**{**fields, **route}),), services)
         self.feed = feed
-        self.pool, self.book = ConnectionPool(clock), TargetBook()
+        self.pool, self.tracker = ConnectionPool(clock), TargetTracker()
         self.pipeline = Pipeline(
             HOME,
             feed,
-            self.book,
+            self.tracker,
             self.pool,
             StewardLinks(HostId("g"), clock, print, print, print, print),
             PlatformCallers(),
@@ -155,9 +157,9 @@
         self._web = WebServer(self.pipeline.serve)
         self._targets: list[WebServer] = []
 
-    async def __aenter__(self) -> "Setting":
+    async def __aenter__(self) -> "Fixture":
         for number in range(max(1, len(self._behaviours))):
-            server = WebServer(self._behave)
+            server = WebServer(self._run_behaviour)
             endpoint = await server.start(LOOPBACK)
             self._targets.append(server)
             self.feed.view.merge(
@@ -181,7 +183,7 @@
         for server in (self._web, *self._targets):
             await server.stop(0.0)
 
-    async def _behave(self, exchange: Exchange) -> None:
+    async def _run_behaviour(self, exchange: Exchange) -> None:
         request = find_header(exchange.request.headers, "request-id") or ""
         self.arrivals.append(request)
         behaviour = self._behaviours[len(self.arrivals) - 1]
@@ -208,48 +210,58 @@
 @pytest.mark.parametrize(
     ("kind", "behaviours", "attempts", "status", "arrivals"),
     [
-        (ONCE, (answer_well,), 1, 200, 1),
-        (ONCE, (refuse, answer_well), 1, 200, 2),
+        (ONCE, (respond,), 1, 200, 1),
+        (ONCE, (refuse, respond), 1, 200, 2),
         (ONCE, (refuse, refuse, refuse), 1, 429, 3),
-        (ONCE, (reset, answer_well), 3, 502, 1),
-        (ONCE, (fail, answer_well), 3, 500, 1),
-        (ONCE, (answer_another, answer_well), 3, 502, 1),
-        (ONCE, (answer_without_mark, answer_well), 3, 502, 1),
-        (ONCE, (answer_encoded, answer_well), 3, 502, 1),
-        (ONCE, (be_silent, answer_well), 3, 504, 1),
-        (ONCE, (refuse, reset, answer_well), 3, 502, 2),
-        (SAFE, (reset, answer_well), 2, 200, 2),
-        (SAFE, (reset, answer_well), 1, 502, 1),
-        # nobody is left to send it to again
+        (ONCE, (reset, respond), 3, 502, 1),
+        (ONCE, (fail, respond), 3, 500, 1),
+        (ONCE, (respond_to_other_request, respond), 3, 502, 1),
+        (ONCE, (respond_without_stamp, respond), 3, 502, 1),
+        (ONCE, (respond_encoded, respond), 3, 502, 1),
+        (ONCE, (never_respond, respond), 3, 504, 1),
+        (ONCE, (refuse, reset, respond), 3, 502, 2),
+        (SAFE, (reset, respond), 2, 200, 2),
+        (SAFE, (reset, respond), 1, 502, 1),
+        # no other target is left for a second send
         (SAFE, (reset,), 2, 502, 1),
-        (SAFE, (fail, answer_well), 2, 200, 2),
+        (SAFE, (fail, respond), 2, 200, 2),
         (SAFE, (fail, fail), 2, 500, 2),
-        (SAFE, (answer_another, answer_well), 2, 200, 2),
+        (SAFE, (respond_to_other_request, respond), 2, 200, 2),
         (SAFE, (reset, refuse, refuse, refuse), 2, 502, 4),
-        (STREAM, (reset, stream_well), 1, 502, 1),
+        (STREAM, (reset, stream_completely), 1, 502, 1),
     ],
 )
-async def test_what_a_caller_hears(kind, behaviours, attempts, status, arrivals):
-    """An order is committed twice, or said not to have run although it had."""
-    async with Setting(kind, *behaviours, attempts=attempts) as setting:
-        assert (await setting.ask())[0] == status
-        assert len(setting.arrivals) == arrivals
+async def test_status_and_number_of_sends(kind, behaviours, attempts, status, arrivals):
+    """A request must not run twice, nor be reported as not run although it may have.
 
+    A target may refuse, fail, reset the connection, stall or return a response that is
+    not its own.
+    """
+    async with Fixture(kind, *behaviours, attempts=attempts) as fixture:
+        assert (await fixture.ask())[0] == status
+        assert len(fixture.arrivals) == arrivals
+
+
+@pytest.mark.parametrize("failing", [stream_and_reset, stream_and_stall])
+async def test_a_resumable_stream_continues_at_another_target(failing):
+    """A stream must continue at another target after the last complete event.
 
-@pytest.mark.parametrize("breaking", [stream_half, stream_then_stall])
-async def test_a_resumable_stream_goes_on_elsewhere_without_a_seam(breaking):
-    """A plan shows an event in half and then again, or stops in the middle."""
+    Otherwise, the caller receives a truncated event and then the complete one, or the
+    stream ends early.
+    """
     changes = {"resumable": True, "attempts": 2, "timeout": 9.0}
-    async with Setting(STREAM, breaking, stream_well, **changes) as setting:
-        answer = await setting.ask(**{"deadline-ms": "8000"})
+    async with Fixture(STREAM, failing, stream_completely, **changes) as fixture:
+        answer = await fixture.ask(**{"deadline-ms": "8000"})
         assert answer == (200, WHOLE_STREAM)
 
 
-async def test_a_stream_that_may_not_be_repeated_never_looks_whole():
-    async with Setting(STREAM, stream_half, stream_well, attempts=2) as setting:
+async def test_a_failed_stream_that_is_not_resumable_is_aborted():
+    async with Fixture(
+        STREAM, stream_and_reset, stream_completely, attempts=2
+    ) as fixture:
         with pytest.raises(LinkLost):
-            await setting.ask()
-        assert len(setting.arrivals) == 1
+            await fixture.ask()
+        assert len(fixture.arrivals) == 1
 
 
 @pytest.mark.parametrize(
@@ -260,104 +272,122 @@
         ("/p/x", {"deadline-ms": "soon"}, 400),
     ],
 )
-async def test_what_leads_nowhere_is_told_and_not_sent(path, headers, status):
-    async with Setting(SAFE, answer_well) as setting:
-        assert (await setting.ask(path, **headers))[0] == status
-        assert setting.arrivals == []
+async def test_a_request_without_route_or_valid_deadline_is_rejected_unsent(
+    path, headers, status
+):
+    async with Fixture(SAFE, respond) as fixture:
+        assert (await fixture.ask(path, **headers))[0] == status
+        assert fixture.arrivals == []
+
 
+async def test_a_gateway_without_routes_responds_unavailable():
+    """A gateway without routes must respond with 503, not with 404.
 
-async def test_without_routes_nothing_is_denied():
-    """A host that has just started tells callers that their service doesn't exist."""
-    async with Setting(SAFE, answer_well) as setting:
-        setting.feed.routes = None
-        assert (await setting.ask())[0] == 503
+    A gateway that has just started can't know that a service does not exist.
+    """
+    async with Fixture(SAFE, respond) as fixture:
+        fixture.feed.routes = None
+        assert (await fixture.ask())[0] == 503
 
 
-async def test_a_caller_that_leaves_takes_its_request_along():
-    async with Setting(SAFE, be_silent, timeout=20.0) as setting:
-        connection = await TargetConnection.open(setting.endpoint)
-        asking = asyncio.create_task(
+async def test_a_disconnecting_caller_closes_the_connection_to_the_target():
+    async with Fixture(SAFE, never_respond, timeout=20.0) as fixture:
+        connection = await TargetConnection.open(fixture.endpoint)
+        task = asyncio.create_task(
             connection.ask(
                 "POST", "/p/x", (("host", "nets.example"), ("request-id", "r")), b""
             )
         )
-        while not setting.arrivals:
+        while not fixture.arrivals:
             await asyncio.sleep(0.01)
-        assert setting._targets[0].connection_count == 1
-        asking.cancel()
+        assert fixture._targets[0].connection_count == 1
+        task.cancel()
         connection.close()
         async with asyncio.timeout(0.5):
-            while setting._targets[0].connection_count:
+            while fixture._targets[0].connection_count:
                 await asyncio.sleep(0.01)
 
 
-async def test_the_budget_of_second_sends_is_kept():
-    """Targets that fail get three times the requests, and fail all the more."""
+async def test_resends_are_limited_by_the_retry_budget():
+    """Resends must be limited, as they multiply the load on failing targets.
+
+    Otherwise, failing targets receive three times the requests and fail more often.
+    """
     behaviours = [reset, reset] * 10
-    async with Setting(SAFE, *behaviours, attempts=2) as setting:
+    async with Fixture(SAFE, *behaviours, attempts=2) as fixture:
         for _ in range(10):
-            assert (await setting.ask())[0] == 502
-        assert len(setting.arrivals) == 10 + 3
+            assert (await fixture.ask())[0] == 502
+        assert len(fixture.arrivals) == 10 + 3
+
 
+@pytest.mark.parametrize("unknown", ["routes", "targets"])
+async def test_requests_are_held_until_routes_and_targets_are_known(unknown):
+    """Requests must be held until routes and targets are known.
 
-@pytest.mark.parametrize("lacking", ["routes", "targets"])
-async def test_a_gateway_that_is_learning_keeps_its_first_callers(lacking):
-    """After a start of all programs callers are refused who come a moment too early."""
-    async with Setting(SAFE, answer_well, objective=1.0) as setting:
-        feed = setting.feed
+    Otherwise, callers are refused shortly after a start of all programs.
+    """
+    async with Fixture(SAFE, respond, objective=1.0) as fixture:
+        feed = fixture.feed
         routes, targets = feed.routes, list(feed.view)
-        if lacking == "routes":
+        if unknown == "routes":
             feed.routes = None
         else:
             feed.view = TargetView()
-        asking = asyncio.create_task(setting.ask())
+        task = asyncio.create_task(fixture.ask())
         await asyncio.sleep(0.1)
-        assert not asking.done()
+        assert not task.done()
         feed.routes = routes
         feed.routes_known.set()
         for target in targets:
             feed.view.merge(target, 0.0)
-        assert (await asking)[0] == 200
+        assert (await task)[0] == 200
+
 
+async def test_a_held_request_is_dropped_when_its_caller_disconnects():
+    """A request held for routes must be dropped when its caller disconnects.
 
-async def test_who_leaves_while_routes_are_learned_is_not_sent_on():
-    """A request reaches a target half a second after its caller has left."""
-    async with Setting(SAFE, answer_well) as setting:
-        feed = setting.feed
+    Otherwise, it reaches a target half a second after the caller has disconnected.
+    """
+    async with Fixture(SAFE, respond) as fixture:
+        feed = fixture.feed
         routes, feed.routes = feed.routes, None
-        connection = await TargetConnection.open(setting.endpoint)
+        connection = await TargetConnection.open(fixture.endpoint)
         head = (("host", "nets.example"), ("request-id", "r"))
-        asking = asyncio.create_task(connection.ask("POST", "/p/x", head, b""))
+        task = asyncio.create_task(connection.ask("POST", "/p/x", head, b""))
         await asyncio.sleep(0.1)
-        asking.cancel()
+        task.cancel()
         connection.close()
         await asyncio.sleep(0.1)
         feed.routes = routes
         feed.routes_known.set()
         await asyncio.sleep(0.1)
-        assert not setting.arrivals
+        assert not fixture.arrivals
 
 
-async def test_nobody_waits_for_a_target_where_all_has_been_learned():
-    async with Setting(SAFE, answer_well) as setting:
-        setting.feed.view = TargetView()
-        setting.pipeline._chooser._began -= LEARN_TIME
+async def test_requests_are_not_held_for_targets_after_discovery():
+    async with Fixture(SAFE, respond) as fixture:
+        fixture.feed.view = TargetView()
+        fixture.pipeline._chooser._started_at -= DISCOVERY_SECONDS
         async with asyncio.timeout(HOLD_LEAST / 2):
-            assert (await setting.ask())[0] == 429
+            assert (await fixture.ask())[0] == 429
+
 
+@pytest.mark.parametrize(("behaviour", "failed"), [(respond, False), (fail, True)])
+async def test_a_relayed_failure_counts_against_its_target(behaviour, failed):
+    """A relayed error response must count as a failure of its target.
 
-@pytest.mark.parametrize(("behaviour", "failed"), [(answer_well, False), (fail, True)])
-async def test_a_failure_that_is_passed_on_counts_against_its_target(behaviour, failed):
-    """A target that answers errors at once looks idle, and gets most requests."""
-    async with Setting(ONCE, behaviour) as setting:
-        await setting.ask()
-        target = next(iter(setting.feed.view))
-        notes = setting.book.notes(target)
-        assert (notes.failures.read(SystemClock().monotonic()) > 0.1) == failed
+    A target that returns errors immediately appears idle and would receive most
+    requests.
+    """
+    async with Fixture(ONCE, behaviour) as fixture:
+        await fixture.ask()
+        target = next(iter(fixture.feed.view))
+        stats = fixture.tracker.stats(target)
+        assert (stats.failures.read(SystemClock().monotonic()) > 0.1) == failed
 
 
-class MuteSteward:
-    """Links to stewards, of which the one of a single address has gone mute.
+class UnresponsiveSteward:
+    """Links to stewards, of which the one for the given address is unresponsive.
 
     :ivar sent: addresses of engines that requests were sent to without a turn.
     """
@@ -366,14 +396,14 @@
         self._address = address
         self.sent: list[str] = []
 
-    def is_mute(self, address: str) -> bool:
+    def is_unresponsive(self, address: str) -> bool:
         return address == self._address
 
-    def reaches(self, address: str) -> bool:
+    def is_available(self, address: str) -> bool:
         return address != self._address
 
-    async def ask_turn(self, address: str, *_, **__) -> TurnEnd:
-        return TurnEnd.GIVEN
+    async def request_turn(self, address: str, *_, **__) -> TurnOutcome:
+        return TurnOutcome.GRANTED
 
     def begin_use(self, address: str, *_) -> None:
         self.sent.append(address)
@@ -381,55 +411,68 @@
     def end_use(self, *_) -> None:
         pass
 
-    def note_read(self, *_) -> None:
+    def notify_prompt_read(self, *_) -> None:
         pass
 
 
-@pytest.mark.parametrize("alive", [False, True])
-async def test_a_host_that_stands_still_gets_no_prompts(alive):
-    """Callers wait for an engine until they leave, though another one is idle."""
-    async with Setting(STREAM, stream_well, stream_well) as setting:
-        still, other = list(setting.feed.view)
-        for target, adapters in ((still, (AdapterRef("a1", 1),)), (other, ())):
+@pytest.mark.parametrize("responsive", [False, True])
+async def test_a_frozen_host_receives_no_prompts(responsive):
+    """Prompts must not be sent to a frozen host while another engine is idle.
+
+    The callers would wait there until they disconnect.
+    """
+    async with Fixture(STREAM, stream_completely, stream_completely) as fixture:
+        frozen, other = list(fixture.feed.view)
+        for target, adapters in ((frozen, (AdapterRef("a1", 1),)), (other, ())):
             holdings = (Holding(ModelName("m"), 1, adapters),)
-            setting.feed.view.merge(
+            fixture.feed.view.merge(
                 msgspec.structs.replace(target, sequence=2, holdings=holdings), 0.0
             )
-        stewards = MuteSteward(still.address)
-        setting.pipeline._stewards = setting.pipeline._chooser._stewards = stewards
-        if alive:
-            notes = setting.book.notes(still)
-            notes.heard_at = SystemClock().monotonic() + 60.0
-        answer = await setting.ask(model="m/a1")
+        stewards = UnresponsiveSteward(frozen.address)
+        fixture.pipeline._stewards = fixture.pipeline._chooser._stewards = stewards
+        if responsive:
+            stats = fixture.tracker.stats(frozen)
+            stats.last_data_at = SystemClock().monotonic() + 60.0
+        answer = await fixture.ask(model="m/a1")
         assert answer == (200, WHOLE_STREAM)
-        assert stewards.sent == ([still.address] if alive else [])
+        assert stewards.sent == ([frozen.address] if responsive else [])
+
 
+async def test_a_request_is_refused_if_the_only_host_is_frozen():
+    """A request must be refused if the only engine is on a frozen host.
 
-async def test_who_finds_only_a_host_that_stands_still_is_refused_at_once():
-    """A caller waits for an engine on a host that stands still until he leaves."""
-    async with Setting(STREAM, stream_well, timeout=9.0) as setting:
-        still = next(iter(setting.feed.view))
+    Otherwise, the caller waits there until it disconnects.
+    """
+    async with Fixture(STREAM, stream_completely, timeout=9.0) as fixture:
+        frozen = next(iter(fixture.feed.view))
         holdings = (Holding(ModelName("m"), 1, (AdapterRef("a1", 1),)),)
-        setting.feed.view.merge(
-            msgspec.structs.replace(still, sequence=2, holdings=holdings), 0.0
+        fixture.feed.view.merge(
+            msgspec.structs.replace(frozen, sequence=2, holdings=holdings), 0.0
         )
-        stewards = MuteSteward(still.address)
-        setting.pipeline._stewards = setting.pipeline._chooser._stewards = stewards
-        assert (await setting.ask(model="m/a1"))[0] == 429
-        assert stewards.sent == setting.arrivals == []
+        stewards = UnresponsiveSteward(frozen.address)
+        fixture.pipeline._stewards = fixture.pipeline._chooser._stewards = stewards
+        assert (await fixture.ask(model="m/a1"))[0] == 429
+        assert stewards.sent == fixture.arrivals == []
+
 
+async def test_a_request_that_a_rate_limit_delays_too_long_is_refused():
+    """A request must be refused if the rate limit delays it too long.
 
-async def test_what_a_limit_does_not_let_through_in_time_is_refused_at_once():
-    """A caller waits until its deadline for a target that takes one request in 2 s."""
-    async with Setting(SAFE, answer_with_limit) as setting:
-        setting._behaviours *= 9
-        answers = [(await setting.ask())[0] for _ in range(4)]
+    Otherwise, a caller waits until its deadline for a target that accepts one request
+    in 2 s.
+    """
+    async with Fixture(SAFE, respond_with_limit) as fixture:
+        fixture._behaviours *= 9
+        answers = [(await fixture.ask())[0] for _ in range(4)]
     assert answers == [200, 200, 429, 429]
-    assert len(setting.arrivals) == 2
+    assert len(fixture.arrivals) == 2
 
 
-async def test_a_late_request_is_still_sent_where_no_limit_holds_it_back():
-    """A target refuses late, and the request is refused with another one idle."""
-    behaviours = (refuse_late, answer_well)
-    async with Setting(SAFE, *behaviours, objective=0.01) as setting:
-        assert (await setting.ask())[0] == 200
+async def test_a_late_request_is_sent_if_no_rate_limit_applies():
+    """A request that was refused late must be sent to another idle target.
+
+    A negative time left must not count as exceeded where no rate limit applies.
+    """
+    behaviours = (refuse_after_delay, respond)
+    async with Fixture(SAFE, *behaviours, objective=0.01) as fixture:
+        assert (await fixture.ask())[0] == 200
--- a/tests/gateway/test_pool.py
+++ b/tests/gateway/test_pool.py
@@ -1,19 +1,23 @@
-"""Kept connections to targets."""
+"""Pool of idle connections to targets."""
 
 import pytest
 
 from ibishead.clock import ManualClock
-from ibishead.gateway.pool import IDLE_DEFAULT, IDLE_MARGIN, ConnectionPool
+from ibishead.gateway.pool import (
+    DEFAULT_IDLE_SECONDS,
+    IDLE_MARGIN_SECONDS,
+    ConnectionPool,
+)
 
 ADDRESS = "127.0.0.1:9"
 
 
 class FakeConnection:
-    """A connection whose target tells how long it keeps it."""
+    """A connection to a target that names an idle time-out."""
 
     def __init__(self, idle_time: float | None = 10.0) -> None:
         self.idle_time = idle_time
-        self.used = 0.0
+        self.last_used = 0.0
         self.closed = False
 
     def close(self) -> None:
@@ -21,31 +25,38 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "kept"), [(10.0, 10.0 - IDLE_MARGIN), (1.0, 0.5), (None, IDLE_DEFAULT)]
+    ("timeout", "usable_for"),
+    [(10.0, 10.0 - IDLE_MARGIN_SECONDS), (1.0, 0.5), (None, DEFAULT_IDLE_SECONDS)],
 )
-async def test_a_connection_is_used_while_its_target_surely_keeps_it(told, kept):
-    """A request is lost, as it crosses the target's close of an idle connection."""
+async def test_a_connection_expires_before_the_target_closes_it(timeout, usable_for):
+    """A connection must be retired before the target closes it.
+
+    Otherwise, a request sent while the target closes the connection is lost.
+    """
     clock = ManualClock()
-    pool, connection = ConnectionPool(clock), FakeConnection(told)
-    pool.give_back(ADDRESS, connection)
-    clock.step(kept - 0.01)
-    pool.sweep()
+    pool, connection = ConnectionPool(clock), FakeConnection(timeout)
+    pool.release(ADDRESS, connection)
+    clock.step(usable_for - 0.01)
+    pool.close_expired()
     assert not connection.closed
     clock.step(0.02)
-    pool.sweep()
+    pool.close_expired()
     assert connection.closed
 
 
-async def test_all_kept_connections_stay_in_use():
-    """Targets are dialled anew at each clump of requests."""
+async def test_all_idle_connections_are_reused_in_turn():
+    """Connections must not expire while others are reused.
+
+    Otherwise, new connections are opened at each burst of requests.
+    """
     clock = ManualClock()
     pool = ConnectionPool(clock)
-    kept = [FakeConnection() for _ in range(3)]
-    for connection in kept:
-        pool.give_back(ADDRESS, connection)
+    connections = [FakeConnection() for _ in range(3)]
+    for connection in connections:
+        pool.release(ADDRESS, connection)
     for _ in range(12):
         clock.step(2.0)
-        pool.give_back(ADDRESS, await pool.take(ADDRESS))
-        pool.sweep()
-    assert not any(connection.closed for connection in kept)
+        pool.release(ADDRESS, await pool.acquire(ADDRESS))
+        pool.close_expired()
+    assert not any(connection.closed for connection in connections)
     assert pool.opened == 0
--- a/tests/gateway/test_stewards.py
+++ b/tests/gateway/test_stewards.py
@@ -1,4 +1,4 @@
-"""A gateway's links to stewards that answer, are silent, or go."""
+"""Links from a gateway to stewards that respond, are unresponsive or disconnect."""
 
 import asyncio
 import time
@@ -7,7 +7,7 @@
 
 from ibishead.clock import SystemClock
 from ibishead.errors import LinkLost
-from ibishead.gateway.stewards import HEARD_TIME, StewardLinks, TurnEnd
+from ibishead.gateway.stewards import ACK_TIMEOUT_SECONDS, StewardLinks, TurnOutcome
 from ibishead.ids import FailureDomain, HostId, ModelName, TargetId
 from ibishead.messages import Hello, Role
 from ibishead.routing.messages import (
@@ -35,7 +35,10 @@
 
 
 class FakeLink:
-    """A link to a steward that answers by ``answers``, none for silence."""
+    """A link to a steward that responds to a request for a turn by ``answers``.
+
+    ``answers(number)`` returns the messages; an unresponsive steward returns none.
+    """
 
     def __init__(self, answers) -> None:
         self.peer = Hello(Role.AGENT, HostId("side"))
@@ -59,8 +62,8 @@
         self.closed = True
 
 
-class Setting:
-    """Links to one steward."""
+class Fixture:
+    """Steward links of a gateway with one steward."""
 
     def __init__(self, answers) -> None:
         self.link = FakeLink(answers)
@@ -74,118 +77,130 @@
             print,
             self._dial,
         )
-        self._dialled = False
-        self.refusal: Exception = TimeoutError()
+        self._connected = False
+        self.dial_error: Exception = TimeoutError()
 
     async def _dial(self, *_):
-        if self._dialled:
-            raise LinkLost("gone", "wait") from self.refusal
-        self._dialled = True
+        if self._connected:
+            raise LinkLost("gone", "wait") from self.dial_error
+        self._connected = True
         return self.link
 
-    async def __aenter__(self) -> "Setting":
-        self.links.meet(STEWARD)
+    async def __aenter__(self) -> "Fixture":
+        self.links.connect(STEWARD)
         await asyncio.sleep(0.01)
         return self
 
     async def __aexit__(self, *_) -> None:
         await self.links.stop()
 
-    async def ask(self, wait: float = 0.4) -> TurnEnd:
-        return await self.links.ask_turn(ADDRESS, KEY, 0, wait=wait)
+    async def request_turn(self, wait: float = 0.4) -> TurnOutcome:
+        return await self.links.request_turn(ADDRESS, KEY, 0, wait=wait)
 
 
 @pytest.mark.parametrize(
-    ("answers", "expected", "reached"),
+    ("answers", "expected", "available"),
     [
-        (lambda n: [TurnAnswer(n, True)], TurnEnd.GIVEN, True),
-        (lambda n: [TurnNoted(n), TurnAnswer(n, True)], TurnEnd.GIVEN, True),
-        (lambda n: [TurnNoted(n), TurnAnswer(n, False)], TurnEnd.LATE, True),
-        (lambda n: [TurnNoted(n)], TurnEnd.LATE, True),
-        (lambda n: [], TurnEnd.MUTE, False),
+        (lambda n: [TurnAnswer(n, True)], TurnOutcome.GRANTED, True),
+        (lambda n: [TurnNoted(n), TurnAnswer(n, True)], TurnOutcome.GRANTED, True),
+        (lambda n: [TurnNoted(n), TurnAnswer(n, False)], TurnOutcome.LATE, True),
+        (lambda n: [TurnNoted(n)], TurnOutcome.LATE, True),
+        (lambda n: [], TurnOutcome.UNRESPONSIVE, False),
     ],
 )
-async def test_the_end_of_a_wait(answers, expected, reached):
-    """Requests wait seconds for a steward whose host stands still."""
-    async with Setting(answers) as setting:
-        assert await setting.ask() is expected
-        assert setting.links.reaches(ADDRESS) is reached
-
-
-async def test_a_turn_that_comes_too_late_is_given_back():
-    async with Setting(lambda n: [TurnNoted(n)]) as setting:
-        assert await setting.ask(wait=0.05) is TurnEnd.LATE
-        asked = next(m for m in setting.link.sent if isinstance(m, AskTurn))
-        setting.link.inbox.put_nowait(TurnAnswer(asked.number, True))
+async def test_the_outcome_of_a_request_for_a_turn(answers, expected, available):
+    """A steward that acknowledges nothing must be skipped.
+
+    Otherwise, requests wait for seconds at a steward whose host is frozen.
+    """
+    async with Fixture(answers) as fixture:
+        assert await fixture.request_turn() is expected
+        assert fixture.links.is_available(ADDRESS) is available
+
+
+async def test_a_turn_granted_after_the_timeout_is_returned():
+    async with Fixture(lambda n: [TurnNoted(n)]) as fixture:
+        assert await fixture.request_turn(wait=0.05) is TurnOutcome.LATE
+        request = next(m for m in fixture.link.sent if isinstance(m, AskTurn))
+        fixture.link.inbox.put_nowait(TurnAnswer(request.number, True))
         await asyncio.sleep(0.01)
-        assert PromptRead(0, 0.0) in setting.link.sent
-        assert EndUse(KEY) in setting.link.sent
+        assert PromptRead(0, 0.0) in fixture.link.sent
+        assert EndUse(KEY) in fixture.link.sent
 
 
-async def test_a_link_that_ends_ends_the_wait():
-    async with Setting(lambda n: [TurnNoted(n)]) as setting:
-        waiting = asyncio.create_task(setting.ask(wait=30.0))
+async def test_a_lost_link_ends_the_wait_for_a_turn():
+    async with Fixture(lambda n: [TurnNoted(n)]) as fixture:
+        turn_task = asyncio.create_task(fixture.request_turn(wait=30.0))
         await asyncio.sleep(0.01)
-        setting.link.inbox.put_nowait(None)
-        assert await waiting is TurnEnd.LATE
+        fixture.link.inbox.put_nowait(None)
+        assert await turn_task is TurnOutcome.LATE
 
 
-async def test_delays_are_passed_on():
-    async with Setting(lambda n: []) as setting:
+async def test_reported_delays_are_forwarded():
+    async with Fixture(lambda n: []) as fixture:
         delay = PromptDelay(TargetId("t"), 0.3)
-        setting.link.inbox.put_nowait(delay)
+        fixture.link.inbox.put_nowait(delay)
         await asyncio.sleep(0.01)
-        assert setting.delays == [delay]
+        assert fixture.delays == [delay]
+
 
+async def test_a_turn_granted_while_its_request_is_cancelled_is_returned():
+    """The caller disconnects when the turn was granted but not yet taken.
 
-async def test_a_turn_that_comes_as_its_caller_leaves_is_given_back():
-    """Guards against a slot and an adapter that stay in use for nobody."""
-    async with Setting(lambda n: [TurnNoted(n)]) as setting:
-        waiting = asyncio.create_task(setting.ask(wait=30.0))
+    Otherwise, the slot and the adapter remain in use at the steward.
+    """
+    async with Fixture(lambda n: [TurnNoted(n)]) as fixture:
+        turn_task = asyncio.create_task(fixture.request_turn(wait=30.0))
         await asyncio.sleep(0.01)
-        asked = next(m for m in setting.link.sent if isinstance(m, AskTurn))
-        setting.links._end_wait(asked.number, True)
-        waiting.cancel()
+        request = next(m for m in fixture.link.sent if isinstance(m, AskTurn))
+        fixture.links._finish_turn(request.number, True)
+        turn_task.cancel()
         with pytest.raises(asyncio.CancelledError):
-            await waiting
-        assert EndUse(KEY) in setting.link.sent
+            await turn_task
+        assert EndUse(KEY) in fixture.link.sent
 
 
 @pytest.mark.parametrize(
-    ("silenced", "refusal", "mute"),
+    ("silenced", "dial_error", "mute"),
     [
         (True, TimeoutError(), True),
         (True, ConnectionRefusedError(), False),
         (False, TimeoutError(), False),
     ],
 )
-async def test_a_steward_whose_link_went_silent_stays_mute(silenced, refusal, mute):
-    """Guards against prompts for a host that has stood still for seconds."""
-    async with Setting(lambda n: []) as setting:
-        setting.refusal = refusal
-        setting.link.silenced = silenced
-        setting.link.inbox.put_nowait(None)
+async def test_a_steward_whose_link_timed_out_is_unresponsive(
+    silenced, dial_error, mute
+):
+    """Prompts must not be sent to a host that has been frozen for seconds."""
+    async with Fixture(lambda n: []) as fixture:
+        fixture.dial_error = dial_error
+        fixture.link.silenced = silenced
+        fixture.link.inbox.put_nowait(None)
         await asyncio.sleep(0.3)
-        assert setting.links.is_mute(ADDRESS) is mute
+        assert fixture.links.is_unresponsive(ADDRESS) is mute
+
 
+async def test_a_blocked_event_loop_does_not_make_a_steward_unresponsive():
+    """A blocked event loop must not make a steward count as unresponsive.
 
-async def test_a_gateway_that_is_late_itself_doesnt_take_its_steward_for_mute():
-    """Callers are refused, as a busy host reads its stewards' answers too late."""
+    On a busy host, an acknowledgement is read only after the time-out has expired, and
+    callers would be refused.
+    """
     async with asyncio.timeout(10):
-        async with Setting(lambda number: []) as setting:
-            asking = asyncio.create_task(setting.ask())
-            while not setting.link.sent:
+        async with Fixture(lambda number: []) as fixture:
+            turn_task = asyncio.create_task(fixture.request_turn())
+            while not fixture.link.sent:
                 await asyncio.sleep(0)
-            number = setting.link.sent[-1].number
+            number = fixture.link.sent[-1].number
 
-            def read(turns: int) -> None:
-                if turns:
-                    asyncio.get_running_loop().call_soon(read, turns - 1)
+            def read(iterations: int) -> None:
+                if iterations:
+                    asyncio.get_running_loop().call_soon(read, iterations - 1)
                 else:
-                    setting.link.inbox.put_nowait(TurnNoted(number))
-                    setting.link.inbox.put_nowait(TurnAnswer(number, True))
+                    fixture.link.inbox.put_nowait(TurnNoted(number))
+                    fixture.link.inbox.put_nowait(TurnAnswer(number, True))
 
-            # an answer passes through the socket and the link before it is read
+            # A message passes through the socket and the link before it is read.
             read(3)
-            time.sleep(2 * HEARD_TIME)
-            assert await asking is TurnEnd.GIVEN
+            time.sleep(2 * ACK_TIMEOUT_SECONDS)
+            assert await turn_task is TurnOutcome.GRANTED
