--- a/src/ibishead/gateway/calls.py
+++ b/src/ibishead/gateway/calls.py
@@ -13,10 +13,10 @@
     "Call",
     "CallerDialect",
     "PromptPart",
-    "Sending",
+    "SendParameters",
     "TargetDialect",
     "TargetHead",
-    "TargetLoadTold",
+    "TargetLoad",
 ]
 
 
@@ -37,11 +37,11 @@
 
     :param target: HTTP request target, that is path and query.
     :param headers: headers that are forwarded to the target.
-    :param patience: seconds until the caller's deadline, or ``None`` if it set none.
+    :param timeout: seconds until the caller's deadline, or ``None`` if it set none.
     :param model: empty if the request names no model.
     :param adapter: empty for the base model.
     :param prompt_tokens: length of the prompt in tokens.
-    :param answer_tokens: maximum length of the response in tokens.
+    :param max_answer_tokens: maximum length of the response in tokens.
     :param resume_after: id of the last event that the caller has received.
     """
 
@@ -52,11 +52,11 @@
     path: str
     headers: Headers
     body: bytes
-    patience: float | None = None
+    timeout: float | None = None
     model: ModelName = ModelName("")
     adapter: str = ""
     prompt_tokens: int = 0
-    answer_tokens: int = 0
+    max_answer_tokens: int = 0
     parts: tuple[PromptPart, ...] = ()
     resume_after: str | None = None
 
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class Sending:
+class SendParameters:
     """Parameters of one send of a call to a target.
 
     :param remaining: seconds until the request's deadline.
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True)
-class TargetLoadTold:
+class TargetLoad:
     """Load that a target reports in the headers of a response.
 
     :param running: requests being processed.
@@ -123,7 +123,7 @@
     genuine: bool
     misdirected: bool = False
     encoded: bool = False
-    load: TargetLoadTold | None = None
+    load: TargetLoad | None = None
     idle_time: float | None = None
     rate_limit: float | None = None
 
@@ -142,22 +142,22 @@
         :raises InvalidInput: the request is malformed.
         """
 
-    def find_id(self, request: WebRequest) -> RequestId | None:
+    def find_request_id(self, request: WebRequest) -> RequestId | None:
         """Return the request id set by the caller, or ``None`` if there is none."""
 
-    def show_error(
+    def render_error(
         self, error: IbisheadError, request: WebRequest
     ) -> tuple[int, Headers, bytes]:
         """Return the status, headers and body of an error response."""
 
-    def is_ready_question(self, request: WebRequest) -> bool:
+    def is_readiness_probe(self, request: WebRequest) -> bool:
         """Return whether a request is a readiness probe of the load balancer."""
 
 
 class TargetDialect(Protocol):
     """Formats and parses messages of the targets' protocol."""
 
-    def make_headers(self, call: Call, sending: Sending) -> Headers:
+    def make_headers(self, call: Call, sending: SendParameters) -> Headers:
         """Return the request headers for one send of a call."""
 
     def read_head(self, call: Call, status: int, headers: Headers) -> TargetHead:
--- a/src/ibishead/gateway/choosing.py
+++ b/src/ibishead/gateway/choosing.py
@@ -97,7 +97,7 @@
 
     async def _wait_for_discovery(self, request: RequestState) -> None:
         view, now = self._feed.view, self._clock.monotonic()
-        hold = find_hold(request.call.patience)
+        hold = find_hold(request.call.timeout)
         end = min(now + hold, self._started_at + DISCOVERY_SECONDS)
         while now < end and not view.list_service(request.service):
             await asyncio.sleep(DISCOVERY_POLL_SECONDS)
--- a/src/ibishead/gateway/connection.py
+++ b/src/ibishead/gateway/connection.py
@@ -98,7 +98,7 @@
             or self._transport.is_closing()
         )
 
-    async def ask(
+    async def request(
         self, method: str, target: str, headers: Headers, body: bytes
     ) -> tuple[int, Headers]:
         """Send a request and return the status and headers of its response.
--- a/src/ibishead/gateway/pipeline.py
+++ b/src/ibishead/gateway/pipeline.py
@@ -139,7 +139,7 @@
             if exchange.started:
                 exchange.abort()
                 return
-            status, headers, body = self._callers.show_error(error, exchange.request)
+            status, headers, body = self._callers.render_error(error, exchange.request)
             await exchange.respond(status, headers, body)
 
     def _record_pace(self, request: RequestState) -> None:
@@ -151,7 +151,7 @@
     async def _wait_for_routes(self, call: Call) -> None:
         if self._feed.routes is None:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(find_hold(call.patience)):
+                async with asyncio.timeout(find_hold(call.timeout)):
                     await self._feed.routes_known.wait()
 
     def _find_retry_after(self) -> timedelta:
@@ -159,7 +159,7 @@
         return timedelta(seconds=wait * (0.5 + self._draw()))
 
     def _resolve(self, call: Call, exchange: Exchange, started: float) -> RequestState:
-        expected = self._answer_pace.expect(call.answer_tokens)
+        expected = self._answer_pace.expect(call.max_answer_tokens)
         if self._stop_at is not None and not fits_grace(
             expected, self._stop_at - started
         ):
@@ -183,7 +183,7 @@
                 f"no route matches {call.hostname} {call.path}",
                 "check the host name and the path against the current routes",
             )
-        timeout = route.timeout if call.patience is None else call.patience
+        timeout = route.timeout if call.timeout is None else call.timeout
         deadline = started + min(timeout, route.timeout)
         service = pick_service(route, self._draw())
         self._find_budget(service).record_attempt()
--- a/src/ibishead/gateway/recorder.py
+++ b/src/ibishead/gateway/recorder.py
@@ -77,7 +77,7 @@
         logger.info(
             "request refused",
             extra={
-                "request": self._callers.find_id(request),
+                "request": self._callers.find_request_id(request),
                 "outcome": error.code.value,
                 "reason": error.message,
                 "routes": self._feed.version,
--- a/src/ibishead/gateway/sending.py
+++ b/src/ibishead/gateway/sending.py
@@ -7,7 +7,7 @@
 
 from ibishead.clock import Clock
 from ibishead.errors import LinkLost
-from ibishead.gateway.calls import Call, Sending, TargetDialect, TargetHead
+from ibishead.gateway.calls import Call, SendParameters, TargetDialect, TargetHead
 from ibishead.gateway.connection import TargetConnection
 from ibishead.gateway.events import EventSplitter
 from ibishead.gateway.pool import ConnectionPool
@@ -177,7 +177,7 @@
         deadline: float,
     ) -> Outcome:
         call, route = state.call, state.route
-        sending = Sending(
+        sending = SendParameters(
             state.target.target,
             deadline - self._clock.monotonic(),
             route.rank,
@@ -186,7 +186,7 @@
         headers = self._dialect.make_headers(call, sending)
         try:
             async with asyncio.timeout(self._find_head_timeout(route, progress)):
-                status, received = await state.connection.ask(
+                status, received = await state.connection.request(
                     call.method, call.target, headers, call.body
                 )
         except TimeoutError:
--- a/src/ibishead/gateway/server.py
+++ b/src/ibishead/gateway/server.py
@@ -143,7 +143,7 @@
             self._idle_since = self._clock.monotonic()
 
     async def _answer_readiness(self, exchange: Exchange) -> None:
-        if not self._callers.is_ready_question(exchange.request):
+        if not self._callers.is_readiness_probe(exchange.request):
             await exchange.respond(404, ())
             return
         ready = not self._stopping and self.feed.routes is not None
--- a/src/ibishead/gateway/tracker.py
+++ b/src/ibishead/gateway/tracker.py
@@ -10,7 +10,7 @@
 from ibishead.decisions.modelwait import expect_start
 from ibishead.decisions.readspeed import FIRST_RATE
 from ibishead.decisions.sendrate import SendRate
-from ibishead.gateway.calls import TargetLoadTold
+from ibishead.gateway.calls import TargetLoad
 from ibishead.gateway.stewards import ACK_TIMEOUT_SECONDS
 from ibishead.ids import TargetId
 from ibishead.routing.messages import EngineReport, FailuresTold, PromptDelay
@@ -139,7 +139,7 @@
         """Count a request as finished."""
         stats.in_flight -= 1
 
-    def record_load(self, stats: TargetStats, load: TargetLoadTold, now: float) -> None:
+    def record_load(self, stats: TargetStats, load: TargetLoad, now: float) -> None:
         """Record the load that a response reports."""
         stats.load = load.running + load.waiting
         stats.load_at = now
--- a/src/ibishead/platform/callers.py
+++ b/src/ibishead/platform/callers.py
@@ -58,12 +58,12 @@
             find_header(headers, "last-event-id"),
         )
 
-    def find_id(self, request: WebRequest) -> RequestId | None:
+    def find_request_id(self, request: WebRequest) -> RequestId | None:
         """Return the caller's name for a request, if it has one."""
         found = find_header(request.headers, "request-id")
         return RequestId(found) if found is not None else None
 
-    def show_error(
+    def render_error(
         self, error: IbisheadError, request: WebRequest
     ) -> tuple[int, Headers, bytes]:
         """Return status, headers and body that tell a caller of an error.
@@ -80,7 +80,7 @@
         status = 502 if isinstance(error, LinkLost) else error.status
         return status, kept, body
 
-    def is_ready_question(self, request: WebRequest) -> bool:
+    def is_readiness_probe(self, request: WebRequest) -> bool:
         """Return whether the balancer asks for readiness."""
         return request.method == "GET" and request.path == READY_PATH
 
--- a/src/ibishead/platform/targets.py
+++ b/src/ibishead/platform/targets.py
@@ -2,7 +2,7 @@
 
 import math
 
-from ibishead.gateway.calls import Call, Sending, TargetHead, TargetLoadTold
+from ibishead.gateway.calls import Call, SendParameters, TargetHead, TargetLoad
 from ibishead.headers import Headers, drop_hop_by_hop, find_header
 
 __all__ = ["PlatformTargets"]
@@ -14,7 +14,7 @@
 class PlatformTargets:
     """Makes headers of sends and reads heads of answers."""
 
-    def make_headers(self, call: Call, sending: Sending) -> Headers:
+    def make_headers(self, call: Call, sending: SendParameters) -> Headers:
         """Return the headers with which a call goes to a target."""
         left = max(1, int(sending.remaining * 1000))
         own = [
@@ -49,12 +49,12 @@
         )
 
 
-def _read_load(text: str | None) -> TargetLoadTold | None:
+def _read_load(text: str | None) -> TargetLoad | None:
     parts = (text or "").split(",")
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
         return None
     running, waiting, slots = (int(part) for part in parts)
-    return TargetLoadTold(running, waiting, slots)
+    return TargetLoad(running, waiting, slots)
 
 
 def _read_idle(text: str | None) -> float | None:
--- a/tests/gateway/test_connection.py
+++ b/tests/gateway/test_connection.py
@@ -43,7 +43,7 @@
 
 
 async def exchange(connection: TargetConnection) -> tuple[int, bytes]:
-    status, _ = await connection.ask("GET", "/", (("host", "x"),), b"")
+    status, _ = await connection.request("GET", "/", (("host", "x"),), b"")
     body = b""
     while (part := await connection.read()) is not None:
         body += part
@@ -89,7 +89,7 @@
 async def test_a_reset_during_a_response_without_length_raises_link_lost():
     async with RawTarget(UNFRAMED, then="wait") as endpoint:
         connection = await TargetConnection.open(endpoint)
-        await connection.ask("GET", "/", (("host", "x"),), b"")
+        await connection.request("GET", "/", (("host", "x"),), b"")
         assert await connection.read() == b"ok"
         connection.connection_lost(ConnectionResetError())
         with pytest.raises(LinkLost):
--- a/tests/gateway/test_pipeline.py
+++ b/tests/gateway/test_pipeline.py
@@ -193,7 +193,7 @@
         sent = {"host": "nets.example", "request-id": "r1", "deadline-ms": "900"}
         connection = await TargetConnection.open(self.endpoint)
         try:
-            status, _ = await connection.ask(
+            status, _ = await connection.request(
                 "POST", path, tuple({**sent, **headers}.items()), b"body"
             )
             body = b""
@@ -294,7 +294,7 @@
     async with Fixture(SAFE, never_respond, timeout=20.0) as fixture:
         connection = await TargetConnection.open(fixture.endpoint)
         task = asyncio.create_task(
-            connection.ask(
+            connection.request(
                 "POST", "/p/x", (("host", "nets.example"), ("request-id", "r")), b""
             )
         )
@@ -353,7 +353,7 @@
         routes, feed.routes = feed.routes, None
         connection = await TargetConnection.open(fixture.endpoint)
         head = (("host", "nets.example"), ("request-id", "r"))
-        task = asyncio.create_task(connection.ask("POST", "/p/x", head, b""))
+        task = asyncio.create_task(connection.request("POST", "/p/x", head, b""))
         await asyncio.sleep(0.1)
         task.cancel()
         connection.close()
--- a/tests/gateway/test_tracker.py
+++ b/tests/gateway/test_tracker.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ibishead.decisions.health import HALF_LIFE
-from ibishead.gateway.calls import TargetLoadTold
+from ibishead.gateway.calls import TargetLoad
 from ibishead.gateway.tracker import TargetTracker
 from ibishead.ids import FailureDomain, ModelName, ServiceName, TargetId
 from ibishead.routing.messages import EngineReport, FailuresTold, PromptDelay
@@ -90,7 +90,7 @@
 def test_reported_load_includes_requests_sent_since_and_expires():
     tracker = TargetTracker()
     stats = tracker.stats(TARGET)
-    tracker.record_load(stats, TargetLoadTold(5, 1, 8), 10.0)
+    tracker.record_load(stats, TargetLoad(5, 1, 8), 10.0)
     tracker.begin_request(stats, 0)
     assert describe(tracker, 10.1).busy == 7
     assert describe(tracker, 12.0).busy == 1
--- a/tests/onplatform/standin.py
+++ b/tests/onplatform/standin.py
@@ -376,7 +376,7 @@
         sent += [(k.replace("_", "-"), v) for k, v in headers.items()]
         connection = await TargetConnection.open(gateway or self.gateways[0])
         try:
-            status, _ = await connection.ask(
+            status, _ = await connection.request(
                 "POST", f"/{route}/x", (("host", "nets.example"), *sent), b"body"
             )
             body = b""
--- a/tests/onplatform/test_bodies.py
+++ b/tests/onplatform/test_bodies.py
@@ -173,7 +173,7 @@
         "prompt-prefix",
     }
     assert (call.hostname, call.target) == ("nets.example", "/p/x?q=1")
-    assert (call.model, call.adapter, call.patience) == ("m", "a3", 1.5)
+    assert (call.model, call.adapter, call.timeout) == ("m", "a3", 1.5)
     assert [(p.name, p.tokens) for p in call.parts] == [("ab", 3), ("cd", 4)]
 
 
--- a/tests/test_metricsserver.py
+++ b/tests/test_metricsserver.py
@@ -19,7 +19,7 @@
     endpoint = await server.start(Endpoint("127.0.0.1", 0))
     connection = await TargetConnection.open(endpoint)
     try:
-        found, _ = await connection.ask("GET", path, (("host", "x"),), b"")
+        found, _ = await connection.request("GET", path, (("host", "x"),), b"")
         body = b""
         while (piece := await connection.read()) is not None:
             body += piece
