--- a/benchmarks/policy/runs.py
+++ b/benchmarks/policy/runs.py
@@ -65,16 +65,18 @@
     ),
     "adapters rendezvous at 4 targets": _Alternative(placement, "HASH_CANDIDATES", 4),
     "a copy's harm to other loads is not counted": _Alternative(
-        placement, "_cost_to_others", lambda load, wishes: 0.0
+        placement, "_estimate_cost_to_others", lambda load, wishes: 0.0
     ),
-    "silence doesn't age a count": _Alternative(eviction, "SILENT_USES", 1e9),
+    "silence doesn't age a count": _Alternative(eviction, "MISSED_USES", 1e9),
     "counts halve in 240 s, not 60 s": _Alternative(eviction, "HALF_LIFE", 240.0),
-    "queue of 4 rounds, not 2": _Alternative(admission, "MAX_ROUNDS", 4.0),
+    "queue of 4 rounds, not 2": _Alternative(admission, "MAX_QUEUED_ROUNDS", 4.0),
     "no bound on the backlog of loads": _Alternative(
-        admission, "MAX_LOAD_BACKLOG", 1e9
+        admission, "MAX_LOAD_BACKLOG_SECONDS", 1e9
     ),
-    "no guarded part for each class": _Alternative(admission, "CLASS_PART", 0.0),
-    "grouping waits twice as long": _Alternative(queueing, "MAX_GROUPING", 8.0),
+    "no guarded part for each class": _Alternative(
+        admission, "RESERVED_CLASS_SHARE", 0.0
+    ),
+    "grouping waits twice as long": _Alternative(queueing, "MAX_GROUPING_SECONDS", 8.0),
 }
 
 
--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -103,7 +103,7 @@
     Guard(
         "loads that wait at an engine without its model count",
         "decisions/choice.py",
-        "return adapter.model_wait + _estimate_load(adapter, rank)",
+        "return adapter.model_wait + _estimate_load_delay(adapter, rank)",
         "return adapter.model_wait + LOAD_DELAY",
         (
             "tests/decisions/test_choice.py"
@@ -123,7 +123,7 @@
     Guard(
         "loads at once follow the store",
         "decisions/loadpace.py",
-        "if seconds > STRETCH * self._usual:",
+        "if seconds > SLOW_RATIO * self._median:",
         "if False:",
         ("tests/decisions/test_loadpace.py::test_loads_at_once_follow_the_store",),
     ),
--- a/src/ibishead/decisions/admission.py
+++ b/src/ibishead/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is taken, and what a refused caller is told."""
+"""Admission control: accept a request or reject it with a retry delay."""
 
 from dataclasses import dataclass
 
@@ -6,46 +6,52 @@
 
 __all__ = ["Admitted", "AdmissionQuery", "Refused", "admit"]
 
-#: Seconds that a refused caller waits at the least.
-MIN_RETRY_AFTER = 0.5
-#: Seconds that a refused caller waits at the most, before the spread.
-MAX_RETRY_AFTER = 60.0
-#: Rounds of runs that may wait. A longer queue raises no throughput, and what waits
-#: in it is placed by reports that are old by the time that it runs.
-MAX_ROUNDS = 2.0
-#: Seconds in which a queue of short requests may drain, however many rounds it has.
-SHORT_QUEUE = 2.0
-#: Part of the bounded queue from which a team is held to its share.
-CONTENTION = 0.5
-#: Priorities, 0 to 9; the lowest may fill this part of the queue, the highest all.
+#: Lower bound of the retry delay of a rejected request.
+MIN_RETRY_AFTER_SECONDS = 0.5
+#: Upper bound of the retry delay, before jitter is added.
+MAX_RETRY_AFTER_SECONDS = 60.0
+#: Maximum queue length, as a multiple of the number of requests that run concurrently.
+#: A longer queue does not raise throughput, and the load reports by which its requests
+#: were placed are outdated by the time they run.
+MAX_QUEUED_ROUNDS = 2.0
+#: A queue that drains within this time is allowed regardless of `MAX_QUEUED_ROUNDS`, so
+#: that bursts of short requests are accepted.
+SHORT_QUEUE_SECONDS = 2.0
+#: Fill level of the bounded queue above which each team is limited to its share.
+CONTENTION_SHARE = 0.5
+#: Priorities range from 0 to 9. The lowest may fill this share of the queue, the
+#: highest all of it.
 MAX_PRIORITY = 9
-LOWEST_PART = 0.5
-#: Part of the queue that each class may fill however long the queue is.
-CLASS_PART = 0.15
-#: Seconds of loads that may wait for the store. A longer backlog loads nothing
-#: sooner and holds the slots and places of requests that could run.
-MAX_LOAD_BACKLOG = 4.0
-#: Seconds of store time that one load takes: 4 loads a second.
-STORE_SECONDS = 0.25
+LOWEST_PRIORITY_SHARE = 0.5
+#: Share of the queue that each class may use however long the queue is.
+RESERVED_CLASS_SHARE = 0.15
+#: Maximum backlog of adapter loads at the weight store. A longer backlog completes no
+#: load sooner, and its requests occupy slots and queue places of requests that could
+#: run.
+MAX_LOAD_BACKLOG_SECONDS = 4.0
+#: Weight store time of one load, at 4 loads per second.
+STORE_SECONDS_PER_LOAD = 0.25
 
 
 @dataclass(frozen=True)
 class AdmissionQuery:
-    """A request and the load it meets.
-
-    :param deadline: seconds until the answer is worthless.
-    :param waiting: requests of the service that wait for their turn, at all targets
-        known here; those that wait for their adapter aren't counted.
-    :param capacity: requests that those targets run at once.
-    :param seconds_per_request: measured mean time of one run.
-    :param team_share: 0 to 1, the part that this team may use under contention.
-    :param team_waiting: requests of this team that wait.
-    :param draw: a number from 0 up to 1 that spreads the return of the refused.
-    :param expected_wait: seconds at the target chosen, see `placement.Placed`.
-    :param class_waiting: requests of this class that wait; none when unknown.
-    :param needs_load: the target chosen neither holds nor awaits the adapter.
-    :param wishes: adapters that wait for their load at all targets known here.
-    :param age: seconds since the report of one of these targets that came first.
+    """A request and the current load of its service.
+
+    :param deadline: seconds until the request's deadline.
+    :param waiting: queued requests of the service at all targets known to this host,
+        without those that wait for an adapter to be loaded.
+    :param capacity: requests that those targets run concurrently.
+    :param seconds_per_request: measured mean run time.
+    :param team_share: share of the queue, 0 to 1, that this team may use under
+        contention.
+    :param team_waiting: queued requests of this team.
+    :param draw: random number in [0, 1) that adds jitter to the retry delay.
+    :param expected_wait: seconds at the chosen target, see `placement.Placed`.
+    :param class_waiting: queued requests of this class, or ``None`` when unknown.
+    :param needs_load: the adapter is neither resident nor being loaded at the chosen
+        target.
+    :param wishes: adapters that wait to be loaded, at all targets known to this host.
+    :param age: seconds since the oldest of these targets' latest reports arrived.
     """
 
     priority: int
@@ -65,16 +71,19 @@
 
 @dataclass(frozen=True)
 class Admitted:
-    """The request may go on."""
+    """The request is accepted.
+
+    :param expected_wait: seconds until the run begins.
+    """
 
     expected_wait: float
 
 
 @dataclass(frozen=True)
 class Refused:
-    """The request was not run.
+    """The request is rejected and has not run.
 
-    :param retry_after: seconds, from the measured drain rate and spread.
+    :param retry_after: seconds, from the measured drain rate plus jitter.
     """
 
     code: ErrorCode
@@ -83,66 +92,75 @@
 
 
 def admit(query: AdmissionQuery) -> Admitted | Refused:
-    """Take the request, or refuse it at once.
+    """Accept the request, or reject it immediately.
 
-    Under saturation a queue that outlasts the deadlines makes every answer late. A
-    refusal costs its caller one round trip and says when to come back.
+    Under saturation a queue that takes longer to drain than the deadlines allow makes
+    every answer late. A rejection costs the caller one round trip and includes a retry
+    delay.
     """
     if query.capacity <= 0:
-        return _refuse(query, ErrorCode.NO_TARGET, "no target is up", 0.0)
-    drain = query.capacity / max(query.seconds_per_request, 1e-3)
-    wait = max(query.waiting / drain, query.expected_wait)
-    late = wait + query.seconds_per_request - query.deadline
-    if late > 0:
-        reason = f"the queue takes {wait:.1f} s, over the deadline{_show_load(query)}"
-        return _refuse(query, ErrorCode.DEADLINE_UNREACHABLE, reason, late)
-    # A backlog at the store that outlasts the deadlines makes all loads late.
-    backlog = query.wishes * STORE_SECONDS
-    if query.needs_load and backlog >= MAX_LOAD_BACKLOG * _part(query.priority):
-        reason = f"too many adapters wait to load: {query.wishes}"
-        return _refuse(query, ErrorCode.OVERLOADED, reason, backlog)
-    # A few rounds of short requests drain at once, so the bound is also one of time.
-    room = max(MAX_ROUNDS * query.capacity, SHORT_QUEUE * drain)
-    limit = max(1.0, room * _part(query.priority))
-    return _hold_to_queue(query, limit, drain) or Admitted(wait)
-
-
-def _hold_to_queue(query: AdmissionQuery, limit: float, drain: float) -> Refused | None:
-    # A small part of the queue is reserved for each class, so that none starves.
+        return _reject(query, ErrorCode.NO_TARGET, "no target is available", 0.0)
+    drain_rate = query.capacity / max(query.seconds_per_request, 1e-3)
+    wait = max(query.waiting / drain_rate, query.expected_wait)
+    excess = wait + query.seconds_per_request - query.deadline
+    if excess > 0:
+        reason = f"queue wait of {wait:.1f} s exceeds deadline{_describe_load(query)}"
+        return _reject(query, ErrorCode.DEADLINE_UNREACHABLE, reason, excess)
+    # A load backlog at the store that exceeds the deadlines makes every load late.
+    backlog = query.wishes * STORE_SECONDS_PER_LOAD
+    if query.needs_load and backlog >= MAX_LOAD_BACKLOG_SECONDS * _queue_share(
+        query.priority
+    ):
+        reason = f"too many adapters wait to be loaded: {query.wishes}"
+        return _reject(query, ErrorCode.OVERLOADED, reason, backlog)
+    # Several rounds of short requests drain quickly, so the limit is the larger of a
+    # number of rounds and a drain time.
+    max_queue = max(
+        MAX_QUEUED_ROUNDS * query.capacity, SHORT_QUEUE_SECONDS * drain_rate
+    )
+    limit = max(1.0, max_queue * _queue_share(query.priority))
+    return _check_queue_limits(query, limit, drain_rate) or Admitted(wait)
+
+
+def _check_queue_limits(
+    query: AdmissionQuery, limit: float, drain_rate: float
+) -> Refused | None:
+    # A small share of the queue is reserved for each class, to prevent starvation.
     own = query.class_waiting
-    if own is not None and own < CLASS_PART * limit:
+    if own is not None and own < RESERVED_CLASS_SHARE * limit:
         return None
     if query.waiting >= limit:
-        over = (query.waiting - limit + 1) / drain
-        reason = f"the queue is full{_show_load(query)}"
-        return _refuse(query, ErrorCode.OVERLOADED, reason, over)
-    # Fair shares hold under contention only: unused capacity serves nobody.
-    contended = query.waiting >= CONTENTION * limit
+        drain_time = (query.waiting - limit + 1) / drain_rate
+        reason = f"queue is full{_describe_load(query)}"
+        return _reject(query, ErrorCode.OVERLOADED, reason, drain_time)
+    # Fair shares apply under contention only; otherwise they would leave capacity
+    # unused.
+    contended = query.waiting >= CONTENTION_SHARE * limit
     if contended and query.team_waiting >= max(1.0, query.team_share * limit):
-        over = query.team_waiting / drain / max(query.team_share, 0.01)
-        reason = f"the team's share is used{_show_load(query)}"
-        return _refuse(query, ErrorCode.OVERLOADED, reason, over)
+        drain_time = query.team_waiting / drain_rate / max(query.team_share, 0.01)
+        reason = f"team share of the queue is used up{_describe_load(query)}"
+        return _reject(query, ErrorCode.OVERLOADED, reason, drain_time)
     return None
 
 
-def _show_load(query: AdmissionQuery) -> str:
+def _describe_load(query: AdmissionQuery) -> str:
     return (
-        f" ({query.waiting} wait, {query.capacity} run at once for "
-        f"{query.seconds_per_request:.2f} s, by reports of {query.age:.1f} s ago)"
+        f" ({query.waiting} queued, {query.capacity} run concurrently for "
+        f"{query.seconds_per_request:.2f} s each, load reports {query.age:.1f} s old)"
     )
 
 
-def _part(priority: int) -> float:
-    # The last part of a bounded queue is left to the higher classes, so that a burst
-    # of the lowest doesn't keep them out.
+def _queue_share(priority: int) -> float:
+    # The last part of the bounded queue is reserved for higher priorities, so that a
+    # burst of low-priority requests does not block them.
     level = min(max(priority, 0), MAX_PRIORITY) / MAX_PRIORITY
-    return LOWEST_PART + (1.0 - LOWEST_PART) * level
+    return LOWEST_PRIORITY_SHARE + (1.0 - LOWEST_PRIORITY_SHARE) * level
 
 
-def _refuse(
-    query: AdmissionQuery, code: ErrorCode, reason: str, drained: float
+def _reject(
+    query: AdmissionQuery, code: ErrorCode, reason: str, drain_time: float
 ) -> Refused:
-    # Refused callers would all return at the same moment and be refused again; the
-    # draw spreads them over as long again as the queue needs to drain.
-    pause = min(max(drained, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
-    return Refused(code, reason, pause * (1.0 + query.draw))
+    # Without jitter, rejected callers would all retry at the same time and be rejected
+    # again. Jitter spreads them over one more drain time of the queue.
+    delay = min(max(drain_time, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
+    return Refused(code, reason, delay * (1.0 + query.draw))
--- a/src/ibishead/decisions/batchslots.py
+++ b/src/ibishead/decisions/batchslots.py
@@ -1,80 +1,81 @@
-"""Whether an engine's batch has room for one more request.
+"""Admission of requests to the batch of an engine.
 
-Several gateways send to one engine, and each knows its own requests only. An engine
-that has more requests than slots takes the urgent ones in and pushes running ones out,
-in the middle of their answers. So a request waits for a slot outside the engine, where
-it can still go elsewhere.
+Several gateways send to one engine, and each knows only its own requests. An engine
+with more requests than slots starts the urgent ones and preempts running ones in the
+middle of their answers. Requests therefore wait for a slot outside the engine, where
+they can still be sent to another target.
 """
 
 __all__ = ["BatchSlots"]
 
-#: Seconds between two ends of requests in a full batch, before any were seen.
-FIRST_INTERVAL = 0.1
+#: Initial interval between two completions in a full batch.
+INITIAL_INTERVAL_SECONDS = 0.1
 
-#: Weight of the newest interval in their mean.
+#: Weight of the newest interval in the moving average.
 INTERVAL_WEIGHT = 0.1
 
 
 class BatchSlots:
-    """Counts an engine's requests against its slots.
+    """Tracks how many of an engine's batch slots are in use.
 
-    :ivar slots: requests in one batch, 0 for no bound.
-    :ivar counted: requests that were given a turn, or sent without one, and haven't
-        ended by their gateways' word.
+    :ivar slots: batch size, 0 for no limit.
+    :ivar counted: requests that were admitted, or sent without admission, and whose
+        gateways have not reported their end.
     """
 
     def __init__(self, slots: int = 0) -> None:
         self.slots = slots
         self.counted = 0
-        self._reported: int | None = None
-        #: Begun since the last report, and between the two before it. Those may still
-        #: have been on their way when the report was made.
-        self._begun = 0
-        self._begun_before = 0
-        self._interval = FIRST_INTERVAL
+        self._reported_count: int | None = None
+        #: Requests started since the last report, and between the two reports before
+        #: it. The latter may still have been in transit when the report was made.
+        self._started = 0
+        self._started_before = 0
+        self._interval = INITIAL_INTERVAL_SECONDS
         self._ended_at: float | None = None
 
     @property
     def used(self) -> int:
-        """Slots in use.
+        """Number of slots in use.
 
-        Failure: the word of an end is lost with its gateway, and a slot would never be
-        free again. The engine's own report bounds the count.
+        The end of a request is never reported if its gateway is lost, which would
+        occupy the slot forever. The engine's own report therefore bounds the count.
         """
-        if self._reported is None:
+        if self._reported_count is None:
             return self.counted
-        known = self._reported + self._begun_before + self._begun
-        return min(self.counted, known)
+        upper_bound = self._reported_count + self._started_before + self._started
+        return min(self.counted, upper_bound)
 
     @property
     def full(self) -> bool:
-        """Whether the next request has to wait."""
+        """Whether no slot is free for another request."""
         return 0 < self.slots <= self.used
 
     def begin(self) -> None:
-        """Count a request that is sent now."""
+        """Count a request that is being sent."""
         self.counted += 1
-        self._begun += 1
+        self._started += 1
 
     def end(self, count: int, now: float) -> None:
-        """Count requests as over.
+        """Count requests that have ended.
 
+        :param count: number of requests.
         :param now: monotonic seconds.
         """
         if self.full and self._ended_at is not None:
-            took = (now - self._ended_at) / max(1, count)
-            self._interval += INTERVAL_WEIGHT * (took - self._interval)
+            interval = (now - self._ended_at) / max(1, count)
+            self._interval += INTERVAL_WEIGHT * (interval - self._interval)
         self.counted = max(0, self.counted - count)
         self._ended_at = now
 
     def note_report(self, requests: int) -> None:
-        """Take in how many requests the engine itself has, running or queued."""
-        self._reported = requests
-        self._begun_before, self._begun = self._begun, 0
+        """Record how many requests the engine reports, running or queued."""
+        self._reported_count = requests
+        self._started_before, self._started = self._started, 0
 
     def delay(self, waiting: int) -> float:
-        """Return the seconds until those who wait for a slot have one.
+        """Return the estimated seconds until the waiting requests have a slot.
 
-        :param waiting: requests that wait.
+        :param waiting: number of requests that wait for a slot.
         """
         return self._interval * waiting if self.full else 0.0
--- a/src/ibishead/decisions/choice.py
+++ b/src/ibishead/decisions/choice.py
@@ -1,7 +1,7 @@
-"""Which target gets a request, by one figure: the delay that the caller would see.
+"""Target selection by the delay that the caller is expected to see.
 
-Load, adapter and health are weighed in seconds, so that a resident adapter on a busy
-engine and a load on an idle one compare.
+Load, adapter state and failures are all expressed in seconds, so that a busy engine
+with the adapter resident can be compared with an idle one that has to load it.
 """
 
 from collections.abc import Callable, Sequence
@@ -23,73 +23,75 @@
     "estimate_wait",
 ]
 
-#: Seconds until an adapter that is on its way is there, on average half of a load.
-COMING_DELAY = 0.15
+#: Mean remaining time of a load in progress: about half of a load.
+LOADING_DELAY = 0.15
 
-#: Seconds to load an adapter at full speed of the store, with the order before it, and
-#: where the engine has held it before and still has a copy at hand.
+#: Time to load an adapter at full speed of the store, including the order before it,
+#: and the time where the engine held it before and still has a local copy.
 LOAD_DELAY = 0.28
 RELOAD_DELAY = 0.05
 
-#: Seconds that count for one more copy from the store of an adapter that another engine
-#: has. All loads share the store, so a copy that isn't needed delays those that are.
+#: Cost of fetching an adapter from the store that another engine already has. All loads
+#: share the store, so an unnecessary copy delays the necessary ones.
 COPY_DELAY = 0.2
 
-#: Seconds for each adapter that is loaded before, and the share of them that comes
-#: before one that is waited for already. The share leads gateways that know nothing of
-#: each other to the engine where an adapter is waited for.
+#: Delay for each adapter queued to be loaded there, and the share of those delays that
+#: applies to an adapter that other requests already wait for there. The share makes
+#: gateways that do not know of each other choose the engine that will load the adapter
+#: anyway.
 TURN_DELAY = 0.2
-WISHED_SHARE = 0.5
+REQUESTED_LOAD_SHARE = 0.5
 
-#: Seconds until an old version has been replaced where it is in use. Longer than a
-#: load, so that a new version is loaded beside the old one and no caller waits for
-#: others' answers to end.
+#: Time until an old version that is in use has been replaced. It is longer than a load,
+#: so that the new version is loaded on another engine and no caller waits until the
+#: answers of others end.
 OUTDATED_DELAY = 1.0
 
-#: Seconds until a slot is free where all hold adapters in use, for each who waits.
+#: Time until a slot becomes free where all slots hold adapters in use, for each adapter
+#: that waits for one.
 SLOT_DELAY = 0.5
 
-#: Seconds by which an adapter's next places in the order of its hash count for worse.
-#: Gateways that know nothing of each other's loads so choose the same engine.
+#: Penalty for each rank in the adapter's hash order, and its maximum. It makes gateways
+#: that do not know of each other's loads choose the same engine.
 HASH_STEP = 0.03
-HASH_MOST = 0.12
+MAX_HASH_DELAY = 0.12
 
-#: Seconds that each running request of a batch costs another one, in slower steps and
-#: in prompts read between them.
-BATCH_STEP = 0.012
+#: Delay that each running request of a batch adds to another one, by slower steps and
+#: by prompts read between them.
+BATCHED_REQUEST_DELAY = 0.012
 
-#: Seconds that a waiting request costs where a whole batch is in use.
-QUEUE_STEP = 0.06
+#: Delay that a queued request adds where the whole batch is in use.
+QUEUED_REQUEST_DELAY = 0.06
 
-#: Seconds that count for a target all of whose last answers were failures. One failure
-#: among the last answers counts for more than the load of an adapter elsewhere: waiting
-#: costs a caller little, and a failure all.
+#: Penalty for a target whose recent answers were all failures. A single failure among
+#: them outweighs loading the adapter elsewhere: waiting costs a caller little, while a
+#: failure costs it the answer.
 FAILURE_DELAY = 3.0
 
-#: Seconds that count for a target that registries have lost sight of, and for one that
-#: couldn't be reached a moment ago.
-SILENT_DELAY = 0.5
-UNREACHED_DELAY = 5.0
+#: Penalty for a target that the registries no longer hear from, and for one that could
+#: not be reached recently.
+SILENT_TARGET_DELAY = 0.5
+UNREACHABLE_DELAY = 5.0
 
-#: Seconds by which another failure domain is farther away.
-DOMAIN_DELAY = 0.003
+#: Additional latency of a target in another failure domain.
+OTHER_DOMAIN_DELAY = 0.003
 
 
 @dataclass(frozen=True)
 class AdapterPlace:
-    """Where an adapter stands on one engine.
-
-    :param resident: in place, at a version that the request may begin on.
-    :param coming: on its way there.
-    :param wished: others wait for it there, and it isn't on its way yet.
-    :param recent: held there before, at a version that the request may begin on.
-    :param outdated: in place at a version that the request may not begin on. Its
-        replacement waits for the requests that use it.
-    :param room: slots that are empty or hold what nobody uses.
-    :param wishes: adapters that wait for their turn to be loaded there.
-    :param serving: the engine holds the model itself.
-    :param model_wait: seconds until it does, where it doesn't.
-    :param manageable: somebody can order the engine to load it.
+    """State of an adapter on one engine.
+
+    :param resident: loaded, at a version that the request may use.
+    :param coming: being loaded.
+    :param wished: requested there by others, and its load has not started.
+    :param recent: held there before, at a version that the request may use.
+    :param outdated: loaded at a version that the request may not use. Its replacement
+        waits for the requests that use it.
+    :param room: slots that are empty or hold an unused adapter.
+    :param wishes: adapters that wait to be loaded there.
+    :param serving: the engine has its model loaded.
+    :param model_wait: seconds until the model is loaded, if it is not.
+    :param manageable: the engine can be ordered to load the adapter.
     """
 
     resident: bool = False
@@ -104,7 +106,7 @@
     manageable: bool = True
 
     def describe(self) -> str:
-        """Return in a word where the adapter stands."""
+        """Return the state as a single term."""
         if not self.serving:
             return "no model"
         if self.resident:
@@ -119,7 +121,7 @@
 
     @property
     def held(self) -> bool:
-        """Whether the engine needs no copy from the store."""
+        """Whether the engine needs no further copy from the store."""
         return self.resident or self.coming or self.wished or self.recent
 
 
@@ -127,15 +129,17 @@
 class Candidate:
     """What is known of one target.
 
-    :param busy: requests there, by its last word and by own sends since.
-    :param slots: requests that it runs at once.
+    :param busy: requests at the target, by its last report and by own requests since.
+    :param slots: requests that it runs concurrently.
     :param prompt_backlog: prompt tokens sent to it that it may not have read yet.
-    :param pace: seconds of a request at this target against the service's mean.
-    :param failures: share of failures among its last answers, recent ones for more.
-    :param prompt_wait: seconds that a prompt waits there for its turn.
-    :param read_rate: prompt tokens that it reads in a second.
-    :param share_wait: seconds until this gateway's part of the target's limit lets a
-        request through.
+    :param pace: run time of a request at this target relative to the service's mean.
+    :param failures: share of failures among its recent answers, weighted by recency.
+    :param silent: the registries no longer hear from the target.
+    :param unreached: the target could not be reached recently.
+    :param prompt_wait: seconds that a prompt waits there until it is sent.
+    :param read_rate: prompt tokens per second that it reads.
+    :param share_wait: seconds until this gateway's share of the target's rate limit
+        admits a request.
     """
 
     target: TargetId
@@ -155,9 +159,12 @@
 
 @dataclass(frozen=True)
 class Need:
-    """What a request asks of a target.
+    """Requirements of a request.
 
-    :param run_time: seconds that a request takes on a target of ordinary pace.
+    :param domain: failure domain of the gateway.
+    :param weights: model and adapter, or ``None`` for a plain service.
+    :param run_time: seconds that the request takes on a target of mean speed.
+    :param avoid: targets that must not be chosen.
     """
 
     domain: FailureDomain
@@ -168,10 +175,10 @@
 
 @dataclass(frozen=True)
 class Chosen:
-    """A target.
+    """The chosen target.
 
-    :param delay: the figure by which it was chosen.
-    :param wait: the part of it, in seconds, until the request can be sent.
+    :param delay: expected delay in seconds by which it was chosen.
+    :param wait: part of the delay until the request can be sent.
     """
 
     candidate: Candidate
@@ -182,83 +189,101 @@
 def choose_target(
     need: Need, candidates: Sequence[Candidate], draw: Callable[[], float]
 ) -> Chosen | None:
-    """Return the target with the least expected delay, or none where there is none.
+    """Return the target with the least expected delay, or ``None`` if there is none.
 
-    Gateways that see the same reports at the same time would all choose the target
-    that was idle a moment ago, so differences below a batch step are broken by chance.
+    Gateways that see the same reports at the same time would all choose the target that
+    was idle last. Differences below `BATCHED_REQUEST_DELAY` are decided randomly.
+
+    :param draw: returns a random number in [0, 1).
     """
-    ranks = _rank(need.weights, candidates)
+    ranks = _rank_by_hash(need.weights, candidates)
     usable = [c for c in candidates if c.target not in need.avoid]
-    copy = any(c.adapter.held for c in usable)
+    copy_exists = any(c.adapter.held for c in usable)
     best: Chosen | None = None
     for candidate in usable:
         adapter = candidate.adapter
         if not (adapter.resident or adapter.coming or adapter.manageable):
             continue
         delay = estimate_delay(need, candidate, ranks.get(candidate.target, 0))
-        delay += BATCH_STEP * draw() + COPY_DELAY * (copy and not adapter.held)
+        delay += BATCHED_REQUEST_DELAY * draw() + COPY_DELAY * (
+            copy_exists and not adapter.held
+        )
         if best is None or delay < best.delay:
             best = Chosen(candidate, delay, estimate_wait(candidate))
     return best
 
 
 def estimate_delay(need: Need, candidate: Candidate, rank: int = 0) -> float:
-    """Return the seconds that a caller would wait for the first of an answer.
+    """Return the expected seconds until the first token of the answer.
 
-    :param rank: the target's place in the order of the adapter's hash.
+    :param rank: position of the target in the adapter's hash order.
     """
-    share = candidate.busy / max(1, candidate.slots)
+    fill = candidate.busy / max(1, candidate.slots)
     delay = candidate.prompt_wait + candidate.prompt_backlog / candidate.read_rate
-    delay += BATCH_STEP * share * 10 + candidate.share_wait
+    delay += BATCHED_REQUEST_DELAY * fill * 10 + candidate.share_wait
     if need.weights is None:
-        # An engine runs its batch side by side, and nobody waits for a run to end
-        # there. So run time counts only where there is no batch.
-        delay += candidate.pace * need.run_time * share
+        # An engine runs the requests of a batch concurrently, so none waits for another
+        # run to end. Run time counts only where requests are not batched.
+        delay += candidate.pace * need.run_time * fill
     waiting = candidate.busy + 1 - candidate.slots
     if waiting > 0:
-        delay += max(QUEUE_STEP, need.run_time / candidate.slots) * waiting
+        delay += max(QUEUED_REQUEST_DELAY, need.run_time / candidate.slots) * waiting
     delay += FAILURE_DELAY * candidate.failures
-    delay += SILENT_DELAY * candidate.silent + UNREACHED_DELAY * candidate.unreached
-    delay += DOMAIN_DELAY * (candidate.domain != need.domain)
-    return delay + _estimate_adapter(candidate.adapter, rank)
+    delay += (
+        SILENT_TARGET_DELAY * candidate.silent + UNREACHABLE_DELAY * candidate.unreached
+    )
+    delay += OTHER_DOMAIN_DELAY * (candidate.domain != need.domain)
+    return delay + _estimate_adapter_delay(candidate.adapter, rank)
 
 
 def estimate_wait(candidate: Candidate) -> float:
-    """Return the seconds until a request could be sent to a target, at least.
+    """Return the minimum seconds until a request could be sent to a target.
 
-    Only what is known well counts, as requests are refused for it. How long a load or
-    a slot takes is a guess that only helps to compare targets.
+    Only delays that are known reliably are included, because requests are rejected on
+    their account. The time that a load or a slot takes is a rough estimate that serves
+    only to compare targets.
     """
     adapter = candidate.adapter
     model_wait = adapter.model_wait * (not adapter.serving)
     return candidate.prompt_wait + candidate.share_wait + model_wait
 
 
-def _estimate_adapter(adapter: AdapterPlace, rank: int) -> float:
+def _estimate_adapter_delay(adapter: AdapterPlace, rank: int) -> float:
     if not adapter.serving:
-        # An idle engine that waits for its model seems free to all gateways; loads that
-        # will follow the model count there as elsewhere.
-        return adapter.model_wait + _estimate_load(adapter, rank)
+        # An idle engine that waits for its model seems free to all gateways. The loads
+        # that will follow the model count there as they do elsewhere.
+        return adapter.model_wait + _estimate_load_delay(adapter, rank)
     if adapter.resident:
         return 0.0
     if adapter.coming:
-        return COMING_DELAY
-    return _estimate_load(adapter, rank)
+        return LOADING_DELAY
+    return _estimate_load_delay(adapter, rank)
 
 
-def _estimate_load(adapter: AdapterPlace, rank: int) -> float:
-    turns = TURN_DELAY * adapter.wishes
+def _estimate_load_delay(adapter: AdapterPlace, rank: int) -> float:
+    queued_loads = TURN_DELAY * adapter.wishes
     slots = SLOT_DELAY * max(0, adapter.wishes + 1 - adapter.room)
-    old = OUTDATED_DELAY * adapter.outdated
+    replacement = OUTDATED_DELAY * adapter.outdated
     if adapter.wished:
         fetch = RELOAD_DELAY if adapter.recent else LOAD_DELAY
-        return fetch + old + WISHED_SHARE * turns + SLOT_DELAY * (not adapter.room)
+        return (
+            fetch
+            + replacement
+            + REQUESTED_LOAD_SHARE * queued_loads
+            + SLOT_DELAY * (not adapter.room)
+        )
     if adapter.recent:
-        return RELOAD_DELAY + old + turns + slots
-    return LOAD_DELAY + old + turns + slots + min(HASH_MOST, HASH_STEP * rank)
+        return RELOAD_DELAY + replacement + queued_loads + slots
+    return (
+        LOAD_DELAY
+        + replacement
+        + queued_loads
+        + slots
+        + min(MAX_HASH_DELAY, HASH_STEP * rank)
+    )
 
 
-def _rank(
+def _rank_by_hash(
     weights: WeightKey | None, candidates: Sequence[Candidate]
 ) -> dict[TargetId, int]:
     if weights is None:
--- a/src/ibishead/decisions/holding.py
+++ b/src/ibishead/decisions/holding.py
@@ -1,37 +1,38 @@
-"""How long a request is held at a host that doesn't know yet where it may go.
+"""How long a host that has no routes yet holds a request.
 
-After a fall of many hosts routes and targets are learned within moments of the first
-election. A caller who is refused before that comes back once or twice and is then lost,
-so he is held for a part of the time that he can wait.
+After an outage of many hosts, routes and targets are learned shortly after the first
+election. A caller that is rejected before then retries once or twice and then gives up,
+so requests are held for part of the time that their callers can wait.
 """
 
 __all__ = ["expect_routes", "find_hold"]
 
-#: Seconds for which a request is held: a share of what its caller can still wait, at
-#: least and at most.
+#: Time for which a request is held: a share of the caller's remaining time, within a
+#: minimum and a maximum in seconds.
 HOLD_SHARE = 0.15
 HOLD_LEAST = 0.5
 HOLD_MOST = 2.0
 
-#: Seconds after which a caller may come back, at least and at most.
-RETURN_LEAST = 0.5
-RETURN_MOST = 4.0
+#: Minimum and maximum retry delay sent to a rejected caller.
+MIN_RETRY_AFTER_SECONDS = 0.5
+MAX_RETRY_AFTER_SECONDS = 4.0
 
 
 def find_hold(patience: float | None) -> float:
-    """Return the seconds for which a request is held.
+    """Return the seconds for which to hold a request.
 
-    :param patience: seconds that the caller still waits, none where it doesn't say.
+    :param patience: seconds until the caller gives up, ``None`` if it does not say.
     """
     share = HOLD_SHARE * (patience or 0.0)
     return min(HOLD_MOST, max(HOLD_LEAST, share))
 
 
 def expect_routes(waited: float) -> float:
-    """Return the seconds after which routes are likely known.
+    """Return the estimated seconds until routes are known.
 
-    Nobody knows how long a quorum will take; it takes about as long as it has taken.
+    The time until a quorum forms is unknown; the best estimate is that it takes as much
+    time again as has passed.
 
-    :param waited: seconds since this host began without routes.
+    :param waited: seconds since this host started without routes.
     """
-    return min(RETURN_MOST, max(RETURN_LEAST, waited))
+    return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, waited))
--- a/src/ibishead/decisions/leaving.py
+++ b/src/ibishead/decisions/leaving.py
@@ -1,8 +1,8 @@
-"""Which requests a host that is about to stop still takes.
+"""Which requests a host still accepts during a planned stop.
 
-An answer that begins late in the grace of a planned stop would be cut at its end, and
-its request may not be sent again. Refused at once, as not run, it is served whole by
-another host.
+An answer that starts late in the grace period would be cut off when the host stops, and
+its request must not be sent again. If the request is rejected immediately as not run,
+another host serves it in full.
 """
 
 from collections import deque
@@ -10,55 +10,60 @@
 
 __all__ = ["ELSEWHERE_WAIT", "AnswerPace", "fits_grace"]
 
-#: Seconds of an answer's first token and of whatever comes before it.
-BEGIN_TIME = 1.0
+#: Time until the first token of an answer, including everything before it.
+FIRST_TOKEN_SECONDS = 1.0
 
-#: How much longer than expected an answer may take, and still end in time. Batches of
-#: engines fill while it runs.
-SPREAD = 1.4
+#: Factor by which an answer may exceed its estimated duration and still end in time.
+#: Engine batches fill up while it runs.
+DURATION_FACTOR = 1.4
 
-#: Seconds before the end of the grace that no answer should need.
-MARGIN = 0.6
+#: Safety margin before the end of the grace period.
+MARGIN_SECONDS = 0.6
 
-#: Seconds after which callers that were refused may come back; other hosts serve them.
+#: Retry delay for rejected callers. It is short because other hosts serve them.
 ELSEWHERE_WAIT = timedelta(seconds=0.05)
 
-#: Seconds of one token while fewer answers were seen than tell the pace.
-FIRST_PACE = 0.02
-LEAST_ANSWERS = 4
+#: Estimated time per token until `MIN_ANSWERS` answers were measured.
+INITIAL_SECONDS_PER_TOKEN = 0.02
+MIN_ANSWERS = 4
 
-#: Answers that the pace rests on: some seconds of a gateway's traffic.
-MOST_ANSWERS = 64
+#: Number of recent answers to consider: some seconds of a gateway's traffic.
+MAX_ANSWERS = 64
 
 
 class AnswerPace:
-    """The most seconds that the last answers took for each token.
+    """Estimates answer durations by the slowest of the recent answers.
 
-    Failure: an answer is cut that was taken by the mean pace, as its engine is slower
-    or its batch fuller than others. So the slowest of the last answers counts.
+    With the mean time per token, answers of engines that are slower or have fuller
+    batches than others would be accepted and then cut off.
     """
 
     def __init__(self) -> None:
-        self._paces: deque[float] = deque(maxlen=MOST_ANSWERS)
+        self._seconds_per_token: deque[float] = deque(maxlen=MAX_ANSWERS)
 
     def note(self, seconds: float, tokens: int) -> None:
-        """Count a whole answer.
+        """Record a completed answer.
 
-        :param tokens: that it had.
+        :param seconds: duration of the answer.
+        :param tokens: number of tokens in the answer.
         """
         if tokens > 0:
-            self._paces.append(seconds / tokens)
+            self._seconds_per_token.append(seconds / tokens)
 
     def expect(self, tokens: int) -> float:
-        """Return the seconds that an answer of that many tokens takes."""
-        known = len(self._paces) >= LEAST_ANSWERS
-        return tokens * (max(self._paces) if known else FIRST_PACE)
+        """Return the estimated seconds for an answer of that many tokens."""
+        measured = len(self._seconds_per_token) >= MIN_ANSWERS
+        return tokens * (
+            max(self._seconds_per_token) if measured else INITIAL_SECONDS_PER_TOKEN
+        )
 
 
 def fits_grace(expected: float, remaining: float) -> bool:
-    """Return whether an answer that begins now likely ends before the host does.
+    """Return whether an answer that starts now is expected to end in time.
 
-    :param expected: seconds that the answer takes, 0 for a short one.
-    :param remaining: seconds until the host ends.
+    :param expected: estimated seconds for the answer, 0 for a short one.
+    :param remaining: seconds until the host stops.
     """
-    return BEGIN_TIME + SPREAD * expected + MARGIN <= remaining
+    return (
+        FIRST_TOKEN_SECONDS + DURATION_FACTOR * expected + MARGIN_SECONDS <= remaining
+    )
--- a/src/ibishead/decisions/loading.py
+++ b/src/ibishead/decisions/loading.py
@@ -1,4 +1,4 @@
-"""Which adapter an agent loads next, and which loads the fleet may run."""
+"""Order of an agent's adapter loads and the fleet-wide limit on loads."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -12,26 +12,27 @@
     "urgency",
 ]
 
-#: The weight store's own limits: loads a second, and loads at full speed at once.
+#: Limits of the weight store: loads per second, and concurrent loads at full speed.
 LOADS_PER_SECOND = 4.0
 MAX_IN_FLIGHT = 8
-#: Seconds after a first failed load; each further failure doubles them.
+#: Delay after the first failed load. It doubles with each further failure.
 FIRST_BACKOFF = 0.25
-MAX_BACKOFF = 8.0
-#: Failures in a row after which the waiting requests go to another target. One may
-#: be chance and costs least to repeat here; two point at this target.
-FAILURES_TO_MOVE = 2
+MAX_BACKOFF_SECONDS = 8.0
+#: Consecutive failures after which the waiting requests move to another target. One
+#: failure may be transient and is cheapest to retry here; two indicate a fault of this
+#: target.
+MAX_LOCAL_FAILURES = 2
 
 
 @dataclass(frozen=True)
 class LoadWish:
-    """An adapter that is not resident and that requests wait for.
+    """An adapter that requests wait for and that is not resident.
 
-    :param digest: of the adapter, see `placement.adapter_digest`.
-    :param waiting: requests that wait for it.
-    :param oldest: seconds that the first of them has waited.
-    :param priority: the highest among them.
-    :param not_before: monotonic seconds; a failed load is backed off until then.
+    :param digest: adapter digest, see `placement.adapter_digest`.
+    :param waiting: number of requests that wait for it.
+    :param oldest: seconds for which the first of them has waited.
+    :param priority: highest priority among them.
+    :param not_before: monotonic seconds until which a failed load is delayed.
     """
 
     digest: int
@@ -42,16 +43,16 @@
 
 
 def urgency(wish: LoadWish) -> float:
-    """Return the harm of waiting: class, age and number of those that wait.
+    """Return the cost of delaying a load, by priority, age and number of requests.
 
-    Grows with the number that wait and with age, so that a load for many goes first and
-    none starves.
+    The cost grows with the number of waiting requests and with their age, so that loads
+    that many requests need go first and no load starves.
     """
     return (1 + wish.priority) * (wish.oldest + 0.1) * wish.waiting
 
 
 def choose_load(wishes: Sequence[LoadWish], now: float) -> LoadWish | None:
-    """Return the most urgent load that may start, or none.
+    """Return the most urgent load that may start, or ``None``.
 
     :param now: monotonic seconds.
     """
@@ -60,20 +61,22 @@
 
 
 def choose_loads(wishes: Sequence[LoadWish], now: float, limit: int) -> list[LoadWish]:
-    """Return up to ``limit`` loads that may start, the most urgent first.
+    """Return up to ``limit`` loads that may start, most urgent first.
 
-    :param limit: slots that are or can be emptied.
+    :param now: monotonic seconds.
+    :param limit: number of slots that are empty or can be emptied.
     """
     ready = [wish for wish in wishes if wish.not_before <= now]
     return sorted(ready, key=urgency, reverse=True)[: max(limit, 0)]
 
 
 class LoadBackoff:
-    """Spaces the repeats of failed loads of one agent.
+    """Delays retries of failed loads of one agent.
 
-    A load that can't succeed would take the store's rate from loads that can.
+    Retries of a load that cannot succeed would use up the store's rate.
 
-    :param first: seconds after a first failed load; each further one doubles them.
+    :param first: delay in seconds after the first failure, doubled with each further
+        one.
     """
 
     def __init__(self, first: float = FIRST_BACKOFF) -> None:
@@ -84,31 +87,33 @@
     def observe_failure(self, digest: int, now: float) -> bool:
         """Count a failed load.
 
-        :returns: whether the requests that wait for it belong at another target.
+        :returns: whether the waiting requests should move to another target.
         """
         failures = self._failures.get(digest, 0) + 1
         self._failures[digest] = failures
-        pause = min(MAX_BACKOFF, self._first * 2 ** (failures - 1))
-        self._not_before[digest] = now + pause
-        return failures >= FAILURES_TO_MOVE
+        delay = min(MAX_BACKOFF_SECONDS, self._first * 2 ** (failures - 1))
+        self._not_before[digest] = now + delay
+        return failures >= MAX_LOCAL_FAILURES
 
     def observe_success(self, digest: int) -> None:
-        """Forget the failures of an adapter that has arrived."""
+        """Reset the failures of an adapter that was loaded."""
         self._failures.pop(digest, None)
         self._not_before.pop(digest, None)
 
     def read(self, digest: int) -> float:
-        """Return the moment from which the adapter may be loaded, 0 for any."""
+        """Return the monotonic time from which the adapter may be loaded, 0 for any."""
         return self._not_before.get(digest, 0.0)
 
 
 class LoadPermits:
-    """Shares the store's rate and its places in flight over all agents.
+    """Token bucket and concurrency limit for loads of all agents from the store.
 
-    Beyond the places in flight all loads get slower. Nothing is ordered before its
-    permit, so that the most urgent wish goes next even when it came last.
+    Beyond the concurrency limit every load slows down. No load is ordered before it has
+    its permit, so that the most urgent load goes next even if it was requested last.
 
-    :param burst: permits saved up while the store idles.
+    :param rate: permits per second.
+    :param in_flight: maximum number of concurrent loads.
+    :param burst: permits that may accumulate while the store is idle.
     """
 
     def __init__(
@@ -118,35 +123,37 @@
         burst: float = MAX_IN_FLIGHT,
     ) -> None:
         self._rate = rate
-        self._places = in_flight
+        self._max_running = in_flight
         self._burst = burst
         self._tokens = burst
-        self._at = 0.0
+        self._refilled_at = 0.0
         self._running = 0
 
     def take(self, now: float) -> bool:
-        """Start one load, and return whether it may start."""
+        """Take a permit for one load, and return whether there was one."""
         self._refill(now)
-        if self._tokens < 1.0 - 1e-9 or self._running >= self._places:
+        if self._tokens < 1.0 - 1e-9 or self._running >= self._max_running:
             return False
         self._tokens -= 1.0
         self._running += 1
         return True
 
     def release(self) -> None:
-        """End one load, whether it succeeded, failed or its permit ran out."""
+        """Count one load as ended: it succeeded, failed, or its permit expired."""
         self._running -= 1
 
     def give_back(self) -> None:
-        """Return a permit that was taken and not used."""
+        """Return a permit that was not used."""
         self._tokens = min(self._burst, self._tokens + 1.0)
         self._running -= 1
 
     def next_at(self, now: float) -> float:
-        """Return the earliest moment of the next permit by the rate alone."""
+        """Return the earliest time of the next permit, by the rate alone."""
         self._refill(now)
         return now + max(0.0, 1.0 - self._tokens) / self._rate
 
     def _refill(self, now: float) -> None:
-        self._tokens = min(self._burst, self._tokens + (now - self._at) * self._rate)
-        self._at = now
+        self._tokens = min(
+            self._burst, self._tokens + (now - self._refilled_at) * self._rate
+        )
+        self._refilled_at = now
--- a/src/ibishead/decisions/loadpace.py
+++ b/src/ibishead/decisions/loadpace.py
@@ -1,9 +1,9 @@
-"""How long an engine's loads from the store take now, and how many it has at once.
+"""Adaptive limit on an engine's concurrent loads from the weight store.
 
-All engines share the weight store, and beyond some loads under way each one takes
-longer in proportion. More of them at once bring nothing sooner, and delay what is
-urgent. So the present time of a load is learned, and fewer are ordered at once while it
-is stretched.
+All engines share the weight store, and beyond some number of concurrent loads each one
+slows down in proportion. Further concurrent loads then complete nothing sooner and
+delay urgent ones. The current load time is therefore estimated, and fewer loads are
+ordered concurrently while loads are slow.
 """
 
 import statistics
@@ -11,73 +11,75 @@
 
 __all__ = ["FIRST_TIME", "LoadPace"]
 
-#: Seconds of a load before any has been seen.
+#: Estimated load time in seconds before any load was measured.
 FIRST_TIME = 0.25
 
-#: Loads under way to one engine at once: at first, at least and at most. An engine
-#: takes no more than four.
+#: Concurrent loads per engine: initial value, minimum and maximum. An engine accepts at
+#: most four.
 FIRST_MOST = 2.0
-LEAST_MOST = 1.0
-MOST_MOST = 4.0
+MIN_CONCURRENT_LOADS = 1.0
+MAX_CONCURRENT_LOADS = 4.0
 
-#: Ratio to the usual time from which a load counts as stretched. Reports come every
-#: 0.04 s, so that a calm load of a quarter of a second seems up to a sixth longer.
-STRETCH = 1.35
+#: Ratio to the median load time from which a load counts as slow. Reports arrive every
+#: 0.04 s, so a normal load of 0.25 s can appear up to one sixth longer.
+SLOW_RATIO = 1.35
 
-#: What a stretched load takes off the loads at once, and what a calm one adds. All that
-#: are under way are stretched together, so a few of them halve the loads at once.
-STEP_DOWN = 0.5
-STEP_UP = 0.15
+#: Decrease of the limit after a slow load and increase after a normal one. All
+#: concurrent loads slow down together, so a few of them halve the limit.
+LIMIT_DECREASE = 0.5
+LIMIT_INCREASE = 0.15
 
-#: Loads whose median is the usual time. Most come from the store; those whose copy was
-#: still at hand are much quicker.
+#: Number of loads for the median. Most come from the store; loads of adapters with a
+#: local copy are much faster.
 WINDOW = 64
 
-#: Ratio to the usual time below which a load didn't come from the store.
-AT_HAND_RATIO = 0.5
+#: Ratio to the median below which a load did not come from the store.
+LOCAL_COPY_RATIO = 0.5
 
-#: Weight of the last load in the present time, and the seconds in which half of what it
-#: is above the usual time is forgotten.
+#: Weight of the last load in the current load time, and the half-life in seconds of the
+#: excess over the median.
 LAST_WEIGHT = 0.5
-FORGET_TIME = 1.0
+EXCESS_HALF_LIFE_SECONDS = 1.0
 
 
 class LoadPace:
-    """Learns from the loads of one engine."""
+    """Estimates load times of one engine and limits its concurrent loads."""
 
     def __init__(self) -> None:
         self._times: deque[float] = deque(maxlen=WINDOW)
-        self._usual = FIRST_TIME
-        self._above = 0.0
-        self._noted = 0.0
-        self._most = FIRST_MOST
+        self._median = FIRST_TIME
+        self._excess = 0.0
+        self._recorded_at = 0.0
+        self._limit = FIRST_MOST
 
     @property
     def most(self) -> int:
-        """How many loads may be under way to the engine at once."""
-        return int(self._most)
+        """Maximum number of concurrent loads."""
+        return int(self._limit)
 
     def note(self, seconds: float, now: float) -> None:
-        """Take in a load that has come to its end.
+        """Record a completed load.
 
-        :param seconds: from the order to the report that shows it.
+        :param seconds: time from the order to the report that shows the adapter.
         :param now: monotonic seconds.
         """
         self._times.append(seconds)
-        self._usual = statistics.median(self._times)
-        if seconds < AT_HAND_RATIO * self._usual:
+        self._median = statistics.median(self._times)
+        if seconds < LOCAL_COPY_RATIO * self._median:
             return
-        above = self._read_above(now)
-        self._above = above + LAST_WEIGHT * (seconds - self._usual - above)
-        self._noted = now
-        if seconds > STRETCH * self._usual:
-            self._most = max(LEAST_MOST, self._most - STEP_DOWN)
+        excess = self._decay_excess(now)
+        self._excess = excess + LAST_WEIGHT * (seconds - self._median - excess)
+        self._recorded_at = now
+        if seconds > SLOW_RATIO * self._median:
+            self._limit = max(MIN_CONCURRENT_LOADS, self._limit - LIMIT_DECREASE)
         else:
-            self._most = min(MOST_MOST, self._most + STEP_UP)
+            self._limit = min(MAX_CONCURRENT_LOADS, self._limit + LIMIT_INCREASE)
 
     def read(self, now: float) -> float:
-        """Return the seconds that a load takes which is ordered now."""
-        return self._usual + max(0.0, self._read_above(now))
+        """Return the expected seconds for a load that is ordered now."""
+        return self._median + max(0.0, self._decay_excess(now))
 
-    def _read_above(self, now: float) -> float:
-        return self._above * 0.5 ** ((now - self._noted) / FORGET_TIME)
+    def _decay_excess(self, now: float) -> float:
+        return self._excess * 0.5 ** (
+            (now - self._recorded_at) / EXCESS_HALF_LIFE_SECONDS
+        )
--- a/src/ibishead/decisions/modelwait.py
+++ b/src/ibishead/decisions/modelwait.py
@@ -1,8 +1,8 @@
-"""How long an engine without a model needs until it holds one.
+"""Estimates of how long an engine takes until its model is loaded.
 
-After a loss of power, or when empty engines are added, some hold their model again
-within tenths of a second and others need seconds. What the service's description says
-of loads tells them apart, by where the engine's copy lies.
+After a power failure, or when empty engines are added, some engines have their model
+loaded within tenths of a second and others take seconds. The load times in the
+service's description, for the location of the engine's copy, distinguish them.
 """
 
 from collections.abc import Collection
@@ -13,27 +13,28 @@
 
 __all__ = ["LOST_WAIT", "Source", "expect_model", "expect_start", "find_source"]
 
-#: Seconds that count for an engine that its steward can't reach. Restarts take some
-#: seconds, and nobody knows whether one is under way.
+#: Assumed wait in seconds for an engine that its steward cannot reach. A restart takes
+#: some seconds, and it is unknown whether one is in progress.
 LOST_WAIT = 4.0
 
-#: Seconds from the start of an engine to the order for its model: the steward reads a
-#: report and needs a fencing number.
-START_TIME = 0.3
+#: Time from the start of an engine until its model load is ordered: the steward first
+#: reads a report and obtains a fencing number.
+START_SECONDS = 0.3
 
-#: Seconds that an order and the report of its end take.
-ORDER_TIME = 0.1
+#: Time for an order and for the report of its completion.
+ORDER_SECONDS = 0.1
 
-#: Seconds of a load where the description doesn't say.
-LOAD_TIME = 3.0
+#: Load time if the description does not state one.
+DEFAULT_LOAD_SECONDS = 3.0
 
-#: Share of its time so far that a load which is overdue takes longer, at least. Loads
-#: from the store take in proportion longer while others run, and nobody says how many.
-OVERDUE_SHARE = 0.3
+#: Minimum remaining time of an overdue load, as a share of its time so far. Loads from
+#: the store slow down in proportion to the number of concurrent loads, which is
+#: unknown.
+MIN_OVERDUE_SHARE = 0.3
 
 
 class Source(Enum):
-    """Where the copy lies that an engine loads a model from."""
+    """Location of the copy that an engine loads a model from."""
 
     MEMORY = "memory"
     DISK = "disk"
@@ -45,7 +46,11 @@
     in_memory: Collection[ModelName],
     on_disk: Collection[ModelName],
 ) -> Source:
-    """Return where an engine finds the model that it is ordered to load."""
+    """Return where an engine finds the model that it is ordered to load.
+
+    :param in_memory: models of which the engine has a copy in memory.
+    :param on_disk: models of which the engine has a copy on disk.
+    """
     fitting = spec.list_fitting() if spec is not None else []
     if fitting and fitting[0].name in in_memory:
         return Source.MEMORY
@@ -55,33 +60,34 @@
 
 
 def expect_start(spec: EngineSpec | None) -> float:
-    """Return the seconds until an engine of which nothing is known holds its model.
+    """Return the estimated seconds until an unknown engine has its model loaded.
 
-    Most such engines have been restarted, and their disks hold what they had. One that
-    is new takes longer than this, until its steward has told more.
+    Most such engines were restarted and still have the model on disk. A new engine
+    takes longer than this estimate, until its steward reports more.
     """
-    return START_TIME + _find_load_time(spec, Source.DISK)
+    return START_SECONDS + _find_load_time(spec, Source.DISK)
 
 
 def expect_model(
     spec: EngineSpec | None, source: Source, since: float | None, now: float
 ) -> float:
-    """Return the seconds until an engine holds its model, by what its steward knows.
+    """Return the estimated seconds until an engine has its model loaded.
 
-    :param since: when the order for the model was given, none where it wasn't.
-    :param now: monotonic seconds, as `since`.
+    :param source: location of the copy, as known to the engine's steward.
+    :param since: monotonic seconds when the load was ordered, ``None`` if it was not.
+    :param now: monotonic seconds.
     """
-    whole = ORDER_TIME + _find_load_time(spec, source)
+    total = ORDER_SECONDS + _find_load_time(spec, source)
     if since is None:
-        return whole
-    spent = now - since
-    return max(whole - spent, ORDER_TIME, OVERDUE_SHARE * spent)
+        return total
+    elapsed = now - since
+    return max(total - elapsed, ORDER_SECONDS, MIN_OVERDUE_SHARE * elapsed)
 
 
 def _find_load_time(spec: EngineSpec | None, source: Source) -> float:
     fitting = spec.list_fitting() if spec is not None else []
     if not fitting:
-        return LOAD_TIME
+        return DEFAULT_LOAD_SECONDS
     model = fitting[0]
-    times = {Source.MEMORY: model.warm_time, Source.DISK: model.disk_time}
-    return times.get(source, 0.0) or model.load_time or LOAD_TIME
+    seconds_by_source = {Source.MEMORY: model.warm_time, Source.DISK: model.disk_time}
+    return seconds_by_source.get(source, 0.0) or model.load_time or DEFAULT_LOAD_SECONDS
--- a/src/ibishead/decisions/patience.py
+++ b/src/ibishead/decisions/patience.py
@@ -1,40 +1,42 @@
-"""How long an answer to an order is waited for.
+"""Adaptive timeout for the answers to orders sent to an engine.
 
-Orders go one after the other, so one that gets no answer holds all others up for as
-long as it is waited for. The same order given again is harmless, since only one of the
-two is accepted. So it is given again soon after the time in which this engine usually
-answers.
+Orders are sent one at a time, so an unanswered order blocks the others until it times
+out. Repeating an order is harmless, since only one of the two is accepted. The timeout
+is therefore kept close to the time in which the engine usually answers.
 """
 
 __all__ = ["OrderPatience"]
 
-#: Seconds for which an answer is waited for at first and at most, and at least. The
-#: engine stands on the same host and answers within milliseconds; a host that is slowed
-#: down needs some times as long.
-MOST = 0.15
-LEAST = 0.03
+#: Initial and maximum timeout, and minimum timeout, in seconds. The engine runs on the
+#: same host and answers within milliseconds; an overloaded host takes several times as
+#: long.
+MAX_TIMEOUT_SECONDS = 0.15
+MIN_TIMEOUT_SECONDS = 0.03
 
-#: How often the time of the slowest of the last answers is waited for, and the factor
-#: by which that time fades with each quicker answer.
-FACTOR = 4.0
-FADE = 0.8
+#: Timeout as a multiple of the slowest recent answer time, and the factor by which that
+#: time decays with each faster answer.
+TIMEOUT_FACTOR = 4.0
+DECAY_FACTOR = 0.8
 
 
 class OrderPatience:
-    """Learns from answers how long the next one is worth waiting for.
+    """Derives the timeout of the next order from the times of recent answers.
 
-    :ivar seconds: the present patience.
+    :ivar seconds: current timeout.
     """
 
     def __init__(self) -> None:
-        self.seconds = MOST
+        self.seconds = MAX_TIMEOUT_SECONDS
         self._slowest = 0.0
 
     def note_answer(self, seconds: float) -> None:
-        """Take in how long an answer took."""
-        self._slowest = max(seconds, FADE * self._slowest)
-        self.seconds = min(MOST, max(LEAST, FACTOR * self._slowest))
+        """Record how long an answer took, in seconds."""
+        self._slowest = max(seconds, DECAY_FACTOR * self._slowest)
+        self.seconds = min(
+            MAX_TIMEOUT_SECONDS,
+            max(MIN_TIMEOUT_SECONDS, TIMEOUT_FACTOR * self._slowest),
+        )
 
     def note_silence(self) -> None:
-        """Take in that no answer came in time; the next may need longer."""
-        self.seconds = min(MOST, 2 * self.seconds)
+        """Record a timeout; the next answer may need longer."""
+        self.seconds = min(MAX_TIMEOUT_SECONDS, 2 * self.seconds)
--- a/src/ibishead/decisions/placement.py
+++ b/src/ibishead/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Where a request goes: which target, given what is known of all of them."""
+"""Choice of the target for a request, by expected delay."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -16,46 +16,48 @@
     "rank_targets",
 ]
 
-#: Targets that may take an adapter which none of the usable ones holds. Two entry
-#: hosts with different reports load it at most this many times; with fewer, an
-#: adapter is tied to targets whose slots may all be in use.
+#: Number of targets that may load an adapter that no usable target holds. Entry hosts
+#: with different reports load it at most this many times. With fewer candidates, an
+#: adapter would be tied to targets whose slots may all be in use.
 HASH_CANDIDATES = 2
-#: Multiple of the mean load up to which a target takes further adapters.
+#: Multiple of the mean load above which a target takes no further adapters.
 LOAD_BOUND = 1.25
-#: Multiple of the fastest run time from which a target counts as slow. Ordinary
-#: differences of batch and length stay below it.
+#: Multiple of the fastest run time above which a target counts as slow. Normal
+#: variation by batch and answer length stays below it.
 SLOW_FACTOR = 2.0
-#: Seconds for which a full batch is preferred or avoided, by the stall weight.
+#: Maximum bonus or penalty for a full batch; the stall weight scales it.
 PACKING_SECONDS = 1.0
-#: Chance of having to load the evicted adapter again, for each of its aged uses.
-REUSE_CERTAIN = 0.25
-#: What loads count for at a stall weight of 0; with nothing, copies of hot adapters
-#: would keep the store overloaded for good.
-LEAST_LOAD_WEIGHT = 0.2
-#: How much more they count for at a stall weight of 1.
+#: Probability of reloading the evicted adapter, per decayed use.
+RELOAD_PROBABILITY_PER_USE = 0.25
+#: Weight of the cost of loads at a stall weight of 0. If they had no weight, copies of
+#: frequently used adapters would keep the store permanently overloaded.
+MIN_LOAD_WEIGHT = 0.2
+#: Increase of that weight up to a stall weight of 1.
 LOAD_WEIGHT_RANGE = 1.6
-#: Seconds of store time that one load takes from others: 4 loads a second.
-STORE_SECONDS = 0.25
+#: Weight store time of one load, at 4 loads per second.
+STORE_SECONDS_PER_LOAD = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class TargetView:
-    """What an entry host knows of one target, late and corrected by itself.
+    """What an entry host knows of one target.
+
+    Reports arrive late and are corrected by the host's own dispatches.
 
     :param running: requests in the target's batch, as last reported.
     :param queued: requests waiting at its agent, as last reported.
     :param recent: own dispatches since that report.
-    :param batch: requests that the target runs at once.
-    :param slots: adapters that it holds at once.
+    :param batch: requests that the target runs concurrently.
+    :param slots: adapters that it holds at the same time.
     :param resident: digests of the adapters in its slots.
-    :param loading: digests of the adapters on their way, own dispatches included.
-    :param seconds_per_request: measured mean time of one run.
-    :param reachable: the link to its agent is alive.
-    :param seconds_per_load: measured mean time from wish to resident adapter.
-    :param wishes: adapters whose load is waited for and hasn't begun.
+    :param loading: digests of the adapters being loaded, own dispatches included.
+    :param seconds_per_request: measured mean run time.
+    :param reachable: the link to its agent is up.
+    :param seconds_per_load: measured mean time from request to resident adapter.
+    :param wishes: adapters that wait to be loaded.
     :param free_slots: slots that are empty or may be emptied.
-    :param coldest: aged uses of the adapter that would leave next.
-    :param stalled: requests among the queued that wait for their adapter.
+    :param coldest: decayed use count of the adapter that would be evicted next.
+    :param stalled: queued requests that wait for their adapter.
     """
 
     target: TargetId
@@ -82,8 +84,8 @@
     """One request to place.
 
     :param adapter: digest of adapter and version, 0 for a plain service.
-    :param stall_weight: 0 weighs batch efficiency only, 1 load stalls only.
-    :param avoid: targets that have refused or failed this request.
+    :param stall_weight: 0 optimizes batch efficiency only, 1 load stalls only.
+    :param avoid: targets that rejected or failed this request.
     """
 
     adapter: int
@@ -94,10 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """A target and the reason it was chosen, for `explain`.
+    """A target and the reason for its choice, which ``explain`` reports.
 
-    :param expected_wait: seconds until the run begins, the load included.
-    :param needs_load: the target neither holds nor awaits the adapter.
+    :param expected_wait: seconds until the run begins, including the load.
+    :param needs_load: the adapter is neither resident nor being loaded there.
     """
 
     target: TargetId
@@ -107,9 +109,9 @@
 
 
 def adapter_digest(adapter: AdapterName, version: Version) -> int:
-    """Return the 32-bit name under which load reports list an adapter.
+    """Return the 32-bit digest by which load reports identify an adapter.
 
-    :returns: 0 for no adapter, otherwise a value from 1 on.
+    :returns: 0 for no adapter, otherwise a positive number.
     """
     if not adapter:
         return 0
@@ -117,9 +119,10 @@
 
 
 def rank_targets(adapter: int, targets: Sequence[TargetView]) -> list[TargetView]:
-    """Return the targets in the adapter's rendezvous order, the same everywhere.
+    """Return the targets in the adapter's rendezvous hash order.
 
-    A target that joins or leaves moves only the adapters that it comes before.
+    All hosts compute the same order. A target that joins or leaves moves only the
+    adapters for which it ranks first.
     """
     return sorted(
         targets,
@@ -133,13 +136,15 @@
     targets: Sequence[TargetView],
     draw: Callable[[], float],
 ) -> Placed | None:
-    """Choose a target, or none when no target can take the request.
+    """Choose a target, or return ``None`` if no target can accept the request.
 
-    Every choice is an expected delay in seconds, the one that this request meets
-    and the one that it brings to others, so that queue, slowness and load compare.
+    Options are compared by expected delay in seconds: the delay of this request plus
+    the delay that it causes for others. This makes queue length, slow targets and loads
+    comparable.
 
-    :param targets: all of a small fleet, or `EntryView.candidates` of a large one.
-    :param draw: returns a number from 0 up to 1, to break ties.
+    :param targets: all targets of a small fleet, or `EntryView.candidates` of a large
+        one.
+    :param draw: returns a random number in [0, 1), to break ties.
     """
     usable = [
         view
@@ -158,20 +163,28 @@
             if query.adapter in view.resident or query.adapter in view.loading
         ]
         others = _choose_new_holders(query.adapter, usable, holders)
-    # All that queue at the shortest of the holders gain by another holder.
-    gainers = max(1, min((_held(view) - view.batch for view in holders), default=1))
-    # Ties of holders are broken by chance, or all entry hosts would take the same
-    # one; ties of new holders by rank, so that they do take the same one.
+    # All requests queued at the least loaded holder benefit from another holder.
+    beneficiaries = max(
+        1, min((_count_active(view) - view.batch for view in holders), default=1)
+    )
+    # Ties between holders are broken randomly, since all entry hosts would otherwise
+    # choose the same one. Ties between new holders are broken by rank, so that all
+    # entry hosts do choose the same one.
     choices = [
-        (_cost_of_holder(query, view, fleet), draw(), view, "resident")
+        (_estimate_holder_cost(query, view, fleet), draw(), view, "resident")
         for view in holders
     ] + [
-        (_cost_of_load(query, view, fleet, gainers), float(rank), view, "load")
+        (
+            _estimate_load_cost(query, view, fleet, beneficiaries),
+            float(rank),
+            view,
+            "load",
+        )
         for rank, view in enumerate(others)
     ]
     _, _, best, reason = min(choices, key=lambda choice: choice[:2])
     return Placed(
-        best.target, reason, _expect_wait(query.adapter, best), reason == "load"
+        best.target, reason, _estimate_wait(query.adapter, best), reason == "load"
     )
 
 
@@ -179,86 +192,98 @@
 class _Fleet:
     fastest: float
     wishes: int
-    harm: float
+    cost_to_others: float
 
 
 def _measure_fleet(usable: list[TargetView]) -> _Fleet:
     fastest = min([view.seconds_per_request for view in usable])
     wishes = sum([view.wishes for view in usable])
     load = sum([view.seconds_per_load for view in usable]) / len(usable)
-    return _Fleet(fastest, wishes, _cost_to_others(load, wishes))
+    return _Fleet(fastest, wishes, _estimate_cost_to_others(load, wishes))
 
 
 def _choose_new_holders(
     adapter: int, usable: list[TargetView], holders: list[TargetView]
 ) -> list[TargetView]:
-    # Rendezvous hashing with bounded loads: entry hosts choose alike without talking,
-    # and a target with many hot adapters is passed over.
+    # Rendezvous hashing with bounded loads: entry hosts choose the same target without
+    # communication, and a target with many frequently used adapters is skipped.
     held = {view.target for view in holders}
-    loads = [(_load(view), view) for view in usable]
+    loads = [(_relative_load(view), view) for view in usable]
     bound = max(1.0, LOAD_BOUND * sum([load for load, _ in loads]) / len(loads))
     free = [(load, view) for load, view in loads if view.target not in held]
-    below = [view for load, view in free if load <= bound]
-    return rank_targets(adapter, below or [view for _, view in free])[:HASH_CANDIDATES]
+    below_bound = [view for load, view in free if load <= bound]
+    return rank_targets(adapter, below_bound or [view for _, view in free])[
+        :HASH_CANDIDATES
+    ]
 
 
-def _cost_of_holder(query: PlacementQuery, view: TargetView, fleet: _Fleet) -> float:
-    arriving = query.adapter and query.adapter not in view.resident
-    load = view.seconds_per_load / 2 if arriving else 0.0
-    return load + _cost_of_turn(query, view, fleet)
+def _estimate_holder_cost(
+    query: PlacementQuery, view: TargetView, fleet: _Fleet
+) -> float:
+    loading = query.adapter and query.adapter not in view.resident
+    load = view.seconds_per_load / 2 if loading else 0.0
+    return load + _estimate_run_cost(query, view, fleet)
 
 
-def _cost_of_load(
-    query: PlacementQuery, view: TargetView, fleet: _Fleet, gainers: int
+def _estimate_load_cost(
+    query: PlacementQuery, view: TargetView, fleet: _Fleet, beneficiaries: int
 ) -> float:
-    # A replica is worth its load only when the holder's queue exceeds the load itself,
-    # the wait that it adds to other loads and the worth of what it evicts.
-    blocked = view.free_slots <= view.wishes
-    delay = view.seconds_per_request / 2 if blocked else 0.0
-    wait = max(view.seconds_per_load, STORE_SECONDS * (1 + fleet.wishes))
-    reloaded = min(1.0, REUSE_CERTAIN * view.coldest)
-    harm = (wait + fleet.harm) * (1.0 + reloaded) / gainers
-    weight = LEAST_LOAD_WEIGHT + LOAD_WEIGHT_RANGE * query.stall_weight
-    turn = _cost_of_turn(query, view, fleet)
-    return delay + weight * (wait + harm) + turn
-
-
-def _cost_to_others(seconds_per_load: float, wishes: int) -> float:
-    # One more load delays those that come before the store next idles: few while it
-    # has time to spare, very many near its rate. For arrivals by chance and loads of
-    # one length S that wait w on average, that delay is w * (1 + 2 * w / S) in sum.
-    queue = max(0.0, seconds_per_load - STORE_SECONDS)
-    queue = max(queue, STORE_SECONDS * wishes)
-    return STORE_SECONDS / 2 + queue * (1.0 + 2.0 * queue / STORE_SECONDS)
-
-
-def _cost_of_turn(query: PlacementQuery, view: TargetView, fleet: _Fleet) -> float:
-    # A slow target's queue looks as short as the rest's. Its excess time is charged in
-    # full, so that work shifts as soon as another target ends it earlier.
+    # A replica pays off only if the holder's queue costs more than the load itself, the
+    # delay that it adds to other loads and the value of the adapter that it evicts.
+    slots_full = view.free_slots <= view.wishes
+    delay = view.seconds_per_request / 2 if slots_full else 0.0
+    wait = max(view.seconds_per_load, STORE_SECONDS_PER_LOAD * (1 + fleet.wishes))
+    reload_probability = min(1.0, RELOAD_PROBABILITY_PER_USE * view.coldest)
+    cost_to_others = (
+        (wait + fleet.cost_to_others) * (1.0 + reload_probability) / beneficiaries
+    )
+    weight = MIN_LOAD_WEIGHT + LOAD_WEIGHT_RANGE * query.stall_weight
+    run_cost = _estimate_run_cost(query, view, fleet)
+    return delay + weight * (wait + cost_to_others) + run_cost
+
+
+def _estimate_cost_to_others(seconds_per_load: float, wishes: int) -> float:
+    # One more load delays all loads that arrive before the store is next idle: few when
+    # utilization is low, many near saturation. For random arrivals, loads of equal
+    # length S and a mean wait w, the total delay is w * (1 + 2 * w / S).
+    queue = max(0.0, seconds_per_load - STORE_SECONDS_PER_LOAD)
+    queue = max(queue, STORE_SECONDS_PER_LOAD * wishes)
+    return STORE_SECONDS_PER_LOAD / 2 + queue * (
+        1.0 + 2.0 * queue / STORE_SECONDS_PER_LOAD
+    )
+
+
+def _estimate_run_cost(query: PlacementQuery, view: TargetView, fleet: _Fleet) -> float:
+    # The queue of a slow target looks as short as the others'. Its excess run time is
+    # charged in full, so that work moves as soon as another target finishes earlier.
     slowness = max(0.0, view.seconds_per_request - SLOW_FACTOR * fleet.fastest)
-    packing = (2.0 * query.stall_weight - 1.0) * PACKING_SECONDS
-    return _wait(view) + slowness + packing * min(_load(view), 1.0)
+    packing_cost = (2.0 * query.stall_weight - 1.0) * PACKING_SECONDS
+    return (
+        _estimate_queue_wait(view)
+        + slowness
+        + packing_cost * min(_relative_load(view), 1.0)
+    )
 
 
-def _expect_wait(adapter: int, view: TargetView) -> float:
-    wait = _wait(view)
+def _estimate_wait(adapter: int, view: TargetView) -> float:
+    wait = _estimate_queue_wait(view)
     if adapter and adapter not in view.resident:
         return max(wait, view.seconds_per_load)
     return wait
 
 
-def _wait(view: TargetView) -> float:
-    over = _held(view) + 1 - view.batch
-    if over <= 0:
+def _estimate_queue_wait(view: TargetView) -> float:
+    excess = _count_active(view) + 1 - view.batch
+    if excess <= 0:
         return 0.0
-    return over * view.seconds_per_request / max(view.batch, 1)
+    return excess * view.seconds_per_request / max(view.batch, 1)
 
 
-def _load(view: TargetView) -> float:
-    return _held(view) / max(view.batch, 1)
+def _relative_load(view: TargetView) -> float:
+    return _count_active(view) / max(view.batch, 1)
 
 
-def _held(view: TargetView) -> int:
-    # What waits for its adapter doesn't occupy the batch. Counted as load, it would
-    # cause replicas, whose loads delay the very adapters that it waits for.
+def _count_active(view: TargetView) -> int:
+    # Requests that wait for their adapter do not occupy the batch. If they counted as
+    # load, they would cause replicas whose loads delay the very adapters they need.
     return view.running + view.queued + view.recent - view.stalled
--- a/src/ibishead/decisions/queueing.py
+++ b/src/ibishead/decisions/queueing.py
@@ -1,4 +1,4 @@
-"""In which order an agent runs what waits."""
+"""Order in which an agent runs queued requests."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -7,25 +7,26 @@
 
 __all__ = ["FairQueue", "Waiting", "choose_late", "choose_next"]
 
-#: Seconds of waiting that raise a request by one priority.
+#: Waiting time that raises a request by one priority.
 SECONDS_PER_PRIORITY = 4.0
-#: Seconds for which others may go before a request to fill the batch with adapters
-#: that run already, at a stall weight of 0; none at 1.
-MAX_GROUPING = 4.0
-#: Runs by which teams may differ before the one with fewer goes first.
-FAIR_STEP = 4.0
-#: Seconds after which a run counts half in its team's account.
-FAIR_HALF_LIFE = 60.0
+#: Maximum time for which requests for adapters that are already in the batch may run
+#: before another request, at a stall weight of 0. It falls to 0 at a stall weight of 1.
+MAX_GROUPING_SECONDS = 4.0
+#: Difference in runs between teams from which the team with fewer runs goes first.
+FAIR_SHARE_STEP = 4.0
+#: Half-life of a run in its team's usage.
+USAGE_HALF_LIFE_SECONDS = 60.0
 
 
 @dataclass(frozen=True)
 class Waiting:
     """One request in an agent's queue.
 
-    :param adapter: digest, 0 for a plain service.
+    :param adapter: adapter digest, 0 for a plain service.
     :param arrived: monotonic seconds.
     :param deadline: monotonic seconds.
     :param ready: its adapter is resident, or it needs none.
+    :param share: share of the capacity that its team is entitled to.
     """
 
     request: RequestId
@@ -47,26 +48,28 @@
     used: Mapping[TeamId, float] | None = None,
     stall_weight: float = 0.5,
 ) -> Waiting | None:
-    """Return the request to run next, or none when no one is ready.
+    """Return the request to run next, or ``None`` if none is ready.
 
-    Classes go first and age, so that none starves; teams within a class go by what they
-    have used; then adapters that run already go first, for a bounded wait, as a batch
-    of many adapters steps slower and pins more slots.
+    Requests are ordered by priority, which rises with waiting time so that none
+    starves. Within a priority, teams with less usage go first. Then requests for
+    adapters that are already in the batch go first, for a bounded time, because a batch
+    with many adapters runs slower steps and pins more slots.
 
-    :param running: requests in the target's batch for each adapter digest.
+    :param running: requests in the target's batch by adapter digest.
     :param now: monotonic seconds.
-    :param used: runs of each team, aged, see `FairQueue.read`.
+    :param used: decayed runs of each team, see `FairQueue.read`.
+    :param stall_weight: 0 optimizes batch efficiency only, 1 load stalls only.
     """
     ready = [item for item in waiting if item.ready]
     used = used or {}
-    patience = MAX_GROUPING * (1.0 - stall_weight)
+    max_grouping = MAX_GROUPING_SECONDS * (1.0 - stall_weight)
 
     def rank(item: Waiting) -> tuple[float, float, bool, float]:
         waited = now - item.arrived
         level = int(item.priority + waited / SECONDS_PER_PRIORITY)
-        spent = used.get(item.team, 0.0) / max(item.share, 0.01)
-        foreign = item.adapter not in running and waited < patience
-        return (-level, int(spent / FAIR_STEP), foreign, item.arrived)
+        usage = used.get(item.team, 0.0) / max(item.share, 0.01)
+        adds_adapter = item.adapter not in running and waited < max_grouping
+        return (-level, int(usage / FAIR_SHARE_STEP), adds_adapter, item.arrived)
 
     return min(ready, key=rank, default=None)
 
@@ -74,16 +77,19 @@
 def choose_late(
     waiting: Sequence[Waiting], now: float, seconds_per_request: float
 ) -> list[Waiting]:
-    """Return the requests that can no longer end in time.
+    """Return the requests that can no longer finish before their deadline.
 
-    They are to be answered `NotRun` at once, with a time to come back, not held until
-    their deadline.
+    They should be answered with `NotRun` and a retry delay immediately, not held until
+    the deadline.
+
+    :param now: monotonic seconds.
+    :param seconds_per_request: shortest expected run time.
     """
     return [item for item in waiting if now + seconds_per_request > item.deadline]
 
 
 class FairQueue:
-    """Counts what each team has run lately, for shares within a class."""
+    """Decayed usage of each team, for fair shares within a priority."""
 
     def __init__(self) -> None:
         self._used: dict[TeamId, tuple[float, float]] = {}
@@ -91,14 +97,15 @@
     def observe_run(self, team: TeamId, now: float, cost: float = 1.0) -> None:
         """Count a run that begins.
 
-        :param cost: runs it counts for; a long one may count for several.
+        :param now: monotonic seconds.
+        :param cost: number of runs to count; a long run may count as several.
         """
         self._used[team] = (self._read(team, now) + cost, now)
 
     def read(self, now: float) -> dict[TeamId, float]:
-        """Return the aged runs of each team."""
+        """Return the decayed runs of each team."""
         return {team: self._read(team, now) for team in self._used}
 
     def _read(self, team: TeamId, now: float) -> float:
-        cost, at = self._used.get(team, (0.0, now))
-        return cost * 0.5 ** ((now - at) / FAIR_HALF_LIFE)
+        cost, counted_at = self._used.get(team, (0.0, now))
+        return cost * 0.5 ** ((now - counted_at) / USAGE_HALF_LIFE_SECONDS)
--- a/src/ibishead/decisions/residents.py
+++ b/src/ibishead/decisions/residents.py
@@ -1,8 +1,8 @@
-"""Which weights an engine is ordered to load or to drop next.
+"""Choice of the next load or unload order for an engine.
 
-Several gateways ask one engine for far more adapters than it has slots. An order beyond
-the slots ends the engine, and one that drops an adapter in use stalls it. So every
-adapter on its way holds a slot, and only idle ones leave.
+Several gateways request far more adapters of one engine than it has slots. A load
+beyond the slots terminates the engine, and unloading an adapter in use stalls it. Every
+adapter being loaded therefore occupies a slot, and only idle adapters are unloaded.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -28,28 +28,28 @@
     "digest",
 ]
 
-#: Worth of an answer that begins late, against one in time. Only the order matters: one
-#: caller who can be in time goes before a few who can't.
-LATE_SHARE = 0.3
+#: Value of an answer that starts late, relative to one in time. Only the order matters:
+#: one caller that can be served in time goes before a few that cannot.
+LATE_VALUE = 0.3
 
-#: Seconds since its last use after which an adapter may leave. A request that was sent
-#: to it a moment ago by a gateway that has just been linked may not be known yet.
-SETTLED_AFTER = 0.05
+#: Idle time after which an adapter may be unloaded. Requests sent a moment ago by a
+#: gateway that was just linked may not be known yet.
+MIN_IDLE_SECONDS = 0.05
 
-#: Seconds over which engines spread the replacement of an adapter by its new version,
-#: so that some copy serves at any time. With a load it ends before the time from which
-#: no request may begin on the old one.
-REPLACE_FIRST = 0.2
-REPLACE_SPREAD = 2.0
+#: Delay and spread of the replacement of an adapter by its new version. Engines replace
+#: it at different times, so that some copy is available at any time. Including the
+#: load, it is complete before requests must no longer start on the old version.
+REPLACE_DELAY_SECONDS = 0.2
+REPLACE_SPREAD_SECONDS = 2.0
 
 
 @dataclass(frozen=True)
 class Wish:
     """An adapter that requests wait for.
 
-    :param helped: how many callers a load would help that is ordered now; one who can
-        only be late counts for a part.
-    :param asked: monotonic seconds at which the last of them should be answered.
+    :param helped: number of callers that a load ordered now would serve; those that it
+        can only serve late count partially.
+    :param asked: latest monotonic time at which one of them should be answered.
     """
 
     key: WeightKey
@@ -60,13 +60,13 @@
 
 @dataclass(frozen=True)
 class EngineWeights:
-    """What an engine holds and has on its way, by the best knowledge at hand.
+    """What an engine holds and loads, as far as is known.
 
-    :param coming: adapters on their way, orders of unknown end included.
-    :param leaving: adapters whose unloading waits for their runs.
-    :param used: when each adapter was last used, monotonic seconds.
-    :param pinned: adapters that requests use now. An engine that is ordered to drop one
-        waits for its runs, and takes no other order for as long.
+    :param coming: adapters being loaded, including orders with unknown outcome.
+    :param leaving: adapters whose unloading waits for their runs to end.
+    :param used: time of the last use of each adapter, monotonic seconds.
+    :param pinned: adapters that requests use now. An engine that is ordered to unload
+        one waits for its runs and accepts no other order in the meantime.
     """
 
     holdings: tuple[Holding, ...] = ()
@@ -76,15 +76,15 @@
     pinned: frozenset[WeightKey] = frozenset()
 
     def adapters(self) -> dict[WeightKey, int]:
-        """Return all adapters in slots, with their versions."""
+        """Return the adapters in slots, with their versions."""
         return list_adapters(self.holdings)
 
 
 @dataclass(frozen=True)
 class Load:
-    """Order the engine to load a model or an adapter.
+    """Order to load a model or an adapter.
 
-    :param version: 0 for the newest.
+    :param version: version to load, 0 for the newest.
     """
 
     key: WeightKey
@@ -93,14 +93,17 @@
 
 @dataclass(frozen=True)
 class Unload:
-    """Order the engine to drop an adapter."""
+    """Order to unload an adapter."""
 
     key: WeightKey
 
 
 @dataclass(frozen=True)
 class Idle:
-    """Nothing is to be ordered now."""
+    """No order is needed or possible now.
+
+    :param reason: why no order is given.
+    """
 
     reason: str
 
@@ -109,19 +112,19 @@
 
 
 def digest(key: WeightKey) -> int:
-    """Return the number under which uses of an adapter are counted."""
+    """Return the number by which uses of an adapter are counted."""
     return xxhash.xxh32_intdigest(f"{key.model}/{key.adapter}".encode()) or 1
 
 
 def count_helped(waiters: Iterable[tuple[float, float]], ready: float) -> float:
-    """Return how many callers a load helps, where one who is late counts for a part.
+    """Return how many callers a load serves; those served late count partially.
 
-    :param waiters: of each, when the adapter should be in place and when he gives up,
-        monotonic seconds.
-    :param ready: when the load would end.
+    :param waiters: for each caller, the monotonic times at which the adapter should be
+        loaded and at which the caller gives up.
+    :param ready: monotonic time at which the load would complete.
     """
     return sum(
-        1.0 if due >= ready else LATE_SHARE if until >= ready else 0.0
+        1.0 if due >= ready else LATE_VALUE if until >= ready else 0.0
         for due, until in waiters
     )
 
@@ -139,84 +142,88 @@
 ) -> Order:
     """Return the next order for one engine.
 
-    :param place: this engine's place, from 0 up to 1, in the spread of replacements.
+    :param floors: minimum version of each adapter for new requests.
+    :param floor_heard: monotonic time at which each of them was received.
     :param now: monotonic seconds.
+    :param place: position of this engine, in [0, 1), in the spread of replacements.
+    :param pace: limit on concurrent loads.
     """
     if (missing := _find_missing_model(spec, weights)) is not None:
         return Load(missing)
     if len(weights.coming) >= pace.most:
-        return Idle("enough on the way")
+        return Idle("limit of concurrent loads reached")
     held = weights.adapters()
-    wish = _choose_wish(weights, held, wishes)
-    if wish is None:
-        return _replace_old(weights, held, floors, floor_heard, now, place)
-    if wish.key in held:
-        return Load(wish.key, wish.version)
+    demand = _choose_demand(weights, held, wishes)
+    if demand is None:
+        return _replace_outdated(weights, held, floors, floor_heard, now, place)
+    if demand.key in held:
+        return Load(demand.key, demand.version)
     if len(held.keys() | weights.coming) < spec.adapter_slots:
-        return Load(wish.key, wish.version)
-    return _make_room(weights, held, wishes, reuse, now)
+        return Load(demand.key, demand.version)
+    return _free_slot(weights, held, wishes, reuse, now)
 
 
 def _find_missing_model(spec: EngineSpec, weights: EngineWeights) -> WeightKey | None:
-    # an engine that has restarted holds nothing; without a model it serves nobody
+    # A restarted engine holds nothing, and without a model it serves no request.
     if weights.holdings or any(not key.adapter for key in weights.coming):
         return None
     fitting = spec.list_fitting()
     return WeightKey(fitting[0].name) if fitting else None
 
 
-def _choose_wish(
+def _choose_demand(
     weights: EngineWeights,
     held: Mapping[WeightKey, int],
     wishes: Sequence[Wish],
 ) -> Wish | None:
     models = {holding.model for holding in weights.holdings}
-    open_wishes = [
-        wish
-        for wish in wishes
-        if wish.key.adapter
-        and wish.key.model in models
-        and wish.key not in weights.coming
-        and wish.key not in weights.leaving
-        and held.get(wish.key, -1) < max(wish.version, 1)
-        # a replacement waits for its runs, and no other order is taken meanwhile
-        and not (wish.key in held and wish.key in weights.pinned)
+    open_demands = [
+        demand
+        for demand in wishes
+        if demand.key.adapter
+        and demand.key.model in models
+        and demand.key not in weights.coming
+        and demand.key not in weights.leaving
+        and held.get(demand.key, -1) < max(demand.version, 1)
+        # The engine waits for the adapter's runs before it replaces it, and accepts no
+        # other order in the meantime.
+        and not (demand.key in held and demand.key in weights.pinned)
     ]
-    # When more adapters are asked for than the store brings in time, the order of
-    # asking makes each one late. Those go first that help most callers, and among these
-    # the last asked for, which have most time left.
-    return max(open_wishes, key=lambda w: (w.helped, w.asked), default=None)
+    # When more adapters are requested than the store delivers in time, serving them in
+    # order of arrival makes every one late. Adapters that serve the most callers go
+    # first, and among these the one requested last, which has the most time left.
+    return max(open_demands, key=lambda w: (w.helped, w.asked), default=None)
 
 
-def _make_room(
+def _free_slot(
     weights: EngineWeights,
     held: Mapping[WeightKey, int],
     wishes: Sequence[Wish],
     reuse: ReuseCounter,
     now: float,
 ) -> Order:
-    waited_for = {wish.key for wish in wishes}
+    requested = {demand.key for demand in wishes}
     keys = {digest(key): key for key in held if key not in weights.leaving}
     slots = [
         SlotView(
-            number,
+            key_digest,
             pins=int(
                 key in weights.pinned
-                or now - weights.used.get(key, 0.0) < SETTLED_AFTER
+                or now - weights.used.get(key, 0.0) < MIN_IDLE_SECONDS
             ),
             last_used=weights.used.get(key, 0.0),
-            reuse=reuse.read(number, now),
-            waiting=int(key in waited_for),
+            reuse=reuse.read(key_digest, now),
+            waiting=int(key in requested),
         )
-        for number, key in keys.items()
+        for key_digest, key in keys.items()
     ]
     victim = choose_victim(slots, now, spare_waiting=True)
     if victim is None:
-        return Idle("all adapters are in use")
+        return Idle("all adapters are in use or requested")
     return Unload(keys[victim.digest])
 
 
-def _replace_old(
+def _replace_outdated(
     weights: EngineWeights,
     held: Mapping[WeightKey, int],
     floors: Mapping[WeightKey, AdapterFloor],
@@ -224,7 +231,7 @@
     now: float,
     place: float,
 ) -> Order:
-    wait = REPLACE_FIRST + REPLACE_SPREAD * place
+    wait = REPLACE_DELAY_SECONDS + REPLACE_SPREAD_SECONDS * place
     for key, version in held.items():
         floor = floors.get(key)
         if floor is None or version >= floor.version:
@@ -233,4 +240,4 @@
             continue
         if now - floor_heard.get(key, now) >= wait:
             return Load(key, floor.version)
-    return Idle("nothing is asked for")
+    return Idle("no adapter is requested")
--- a/src/ibishead/decisions/retry.py
+++ b/src/ibishead/decisions/retry.py
@@ -1,4 +1,4 @@
-"""Whether an attempt that ended badly is followed by another."""
+"""Decides whether a failed attempt is followed by another one."""
 
 from dataclasses import dataclass
 
@@ -13,22 +13,23 @@
     "decide_retry",
 ]
 
-#: Attempts of one request that reached a target, the first included; more only spread
-#: an overload.
+#: Maximum attempts of one request that reached a target, including the first. More
+#: attempts only spread an overload.
 MAX_ATTEMPTS = 3
 
-#: Attempts of one request that were lost before a target got them.
-MAX_UNSEEN = 4
+#: Maximum attempts of one request that were lost before a target received them.
+MAX_LOST_ATTEMPTS = 4
 
 
 @dataclass(frozen=True)
 class AttemptEnd:
-    """How an attempt ended before any byte of it reached the caller.
+    """How an attempt ended.
 
-    :param attempt: attempts so far that reached a target, this one included.
-    :param remaining: seconds left until the request's deadline.
-    :param unseen: the target never got it, so another attempt loads nothing twice.
-    :param lost: attempts so far that no target got, this one included.
+    :param attempt: number of attempts that reached a target, including this one.
+    :param remaining: seconds until the request's deadline.
+    :param delivered: part of the answer was sent to the caller.
+    :param unseen: the target never received the attempt, so another one adds no load.
+    :param lost: number of attempts that no target received, including this one.
     """
 
     outcome: Outcome
@@ -42,16 +43,16 @@
 
 @dataclass(frozen=True)
 class RetryElsewhere:
-    """Try another target."""
+    """Send the request to another target."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class GiveUp:
-    """Tell the caller now.
+    """Report the failure to the caller.
 
-    :param retry_after: seconds after which the caller may come back.
+    :param retry_after: seconds after which the caller may retry.
     """
 
     reason: str
@@ -60,10 +61,10 @@
 
 @dataclass(frozen=True)
 class BudgetShare:
-    """What all gateways together may send again to one service.
+    """Retries to one service allowed to all gateways together.
 
-    :param ratio: of the requests for it.
-    :param slack: beyond that, in any window.
+    :param ratio: allowed retries as a share of the service's requests.
+    :param slack: retries allowed in addition, in any window.
     """
 
     ratio: float = 0.2
@@ -71,13 +72,13 @@
 
 
 class RetryBudget:
-    """Lets retries be a fraction of first attempts, so that none amplify a failure.
+    """Limits retries to a fraction of first attempts, so that they amplify no failure.
 
-    Without a budget all that failed at one target is sent again to the others, which
+    Without a budget, all requests that fail at one target are sent to the others, which
     may then fail as well.
 
-    :param ratio: retries that each first attempt earns.
-    :param burst: retries that may be saved up, about one target's batch.
+    :param ratio: retries earned by each first attempt.
+    :param burst: retries that may accumulate, about one target's batch.
     """
 
     def __init__(self, ratio: float = 0.1, burst: float = 10.0) -> None:
@@ -86,11 +87,11 @@
         self._tokens = burst
 
     def record_attempt(self) -> None:
-        """Earn a fraction of a retry with each first attempt."""
+        """Add the fraction of a retry that a first attempt earns."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Spend one retry, and return whether there was one to spend."""
+        """Use one retry, and return whether there was one."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -100,20 +101,20 @@
 def decide_retry(
     end: AttemptEnd, budget: RetryBudget, retry_after: float
 ) -> RetryElsewhere | GiveUp:
-    """Decide what follows an attempt.
+    """Decide what follows a failed attempt.
 
-    A request that may have run is sent again only where it is idempotent. What is given
-    up is answered at once, with the time to come back.
+    A request that may have run is repeated only if it is idempotent. Otherwise the
+    failure is reported immediately, with a retry delay.
 
-    :param retry_after: seconds to tell the caller when it is given up.
+    :param retry_after: seconds to report to the caller if the request is not repeated.
     """
     repeatable = end.outcome is Outcome.NOT_RUN or end.idempotent
     if not repeatable or end.delivered:
-        return GiveUp("may not run twice", retry_after)
-    spent = end.attempt >= MAX_ATTEMPTS or end.lost >= MAX_UNSEEN
-    if spent or end.remaining <= 0:
-        return GiveUp("no attempt left before the deadline", retry_after)
-    # What no target has seen brings no more load than the first attempt would have.
+        return GiveUp("request must not run twice", retry_after)
+    exhausted = end.attempt >= MAX_ATTEMPTS or end.lost >= MAX_LOST_ATTEMPTS
+    if exhausted or end.remaining <= 0:
+        return GiveUp("no attempts or no time left", retry_after)
+    # An attempt that no target received adds no load beyond that of the first attempt.
     if not end.unseen and not budget.take():
-        return GiveUp("retry budget is spent", retry_after)
+        return GiveUp("retry budget is exhausted", retry_after)
     return RetryElsewhere(end.outcome.value)
--- a/src/ibishead/decisions/turns.py
+++ b/src/ibishead/decisions/turns.py
@@ -1,9 +1,9 @@
-"""When an engine is given the next prompt, and whose prompt it is.
+"""Scheduling of prompts to an engine, to bound the pauses of running answers.
 
-An engine reads prompts in pieces between the tokens of its running answers. Several
-long prompts in a row delay the tokens of all these answers beyond what their callers
-accept. So a prompt waits for its turn outside the engine, where the wait costs its own
-caller a part of the time to the first event, and nobody else anything.
+An engine reads prompts in chunks between the tokens of its running answers. Several
+long prompts in a row delay the tokens of all these answers beyond what callers accept.
+Prompts therefore wait outside the engine, where the wait costs only their own callers
+part of the time to the first event.
 """
 
 from collections import deque
@@ -14,43 +14,44 @@
 
 __all__ = ["PromptWindow", "Turn", "choose_turn"]
 
-#: Share of a pause that callers accept which an engine may spend on prompts, at first,
-#: at least and at most. The rest goes into the tokens themselves.
-FIRST_SHARE = 0.85
-LEAST_SHARE = 0.5
-MOST_SHARE = 0.9
+#: Share of the accepted pause that an engine may spend on prompts: initial value,
+#: minimum and maximum. The rest is used for the tokens themselves.
+INITIAL_SHARE = 0.85
+MIN_SHARE = 0.5
+MAX_SHARE = 0.9
 
-#: How the share follows the pauses of answers: by this factor down with each answer
-#: that paused for too long, by this step up with any other. It rests where 3 answers in
-#: 100 pause; engines of one kind differ in speed by a third.
+#: Adaptation of the share: each answer with too long a pause multiplies it by this
+#: factor, any other answer adds this step. It settles where 3 answers in 100 pause;
+#: engines of one kind differ in speed by a third.
 SHARE_FACTOR = 0.93
 SHARE_STEP = 0.002
 
-#: Share of an accepted pause up to which an answer counts as calm. Engines that read
-#: long pieces, few for each event, go beyond it when all pieces are full; those that
-#: read short ones never do, and turns only hold their prompts back.
-CALM_SHARE = 0.78
+#: Share of the accepted pause up to which an answer counts as unaffected. Engines with
+#: long chunks and few of them per event exceed it when all chunks are full. Engines
+#: with short chunks never do, and the limit only delays their prompts.
+UNAFFECTED_SHARE = 0.78
 
-#: Calm answers in a row, while prompts wait, after which the share rises beyond the
-#: most above, and by which factor.
-CALM_ANSWERS = 64
+#: Consecutive unaffected answers, while prompts wait, after which the share rises
+#: beyond `MAX_SHARE`, and the factor by which it rises.
+MIN_UNAFFECTED_ANSWERS = 64
 RISE_FACTOR = 2.0
 
-#: Pauses of more than this many times the accepted one have other causes than prompts:
-#: a lost packet, a host that stood still.
-PAUSE_FACTOR = 2.0
+#: Pauses longer than this multiple of the accepted pause have causes other than
+#: prompts, such as a lost packet or a suspended host.
+MAX_PAUSE_FACTOR = 2.0
 
-#: Seconds from a turn to the first event, without the wait for it. A request whose
-#: objective ends sooner is late whatever is done.
-BEGIN_TIME = 0.1
+#: Time from sending a prompt to its first event. A request whose objective ends sooner
+#: is late in any case.
+FIRST_EVENT_SECONDS = 0.1
 
 
 @dataclass(frozen=True)
 class Turn:
     """A request that waits to be sent to an engine.
 
-    :param tokens: length of its prompt.
-    :param due: monotonic seconds at which its answer should begin.
+    :param number: identifier of the request.
+    :param tokens: prompt tokens.
+    :param due: monotonic seconds by which its answer should begin.
     """
 
     number: int
@@ -59,82 +60,88 @@
 
 
 def choose_turn(turns: Iterable[Turn], now: float) -> Turn | None:
-    """Return the request that is sent next, or none where none waits.
+    """Return the request to send next, or ``None`` if none waits.
 
-    With more prompts than the engine can read in time, the order of arrival or of due
-    times alone makes all of them late. So those that can still be in time go first, by
-    their due times; no size starves, as nobody overtakes the one that was chosen.
+    With more prompts than the engine can read in time, serving them in order of arrival
+    or of due times makes all of them late. Requests that can still be in time go first,
+    by due time. No prompt length starves, because the chosen request is never
+    overtaken.
     """
-    return min(turns, key=lambda t: (t.due < now + BEGIN_TIME, t.due), default=None)
+    return min(
+        turns, key=lambda t: (t.due < now + FIRST_EVENT_SECONDS, t.due), default=None
+    )
 
 
 class PromptWindow:
-    """Prompt tokens given to one engine within the last moments.
+    """Sliding window of prompt tokens sent to one engine.
 
-    :ivar gap: seconds that the window covers, the longest pause that callers accept;
-        0 lets everything through.
-    :ivar speed: how fast the engine reads.
+    :ivar gap: length of the window in seconds, the longest pause that callers accept;
+        0 disables the limit.
+    :ivar speed: estimate of the engine's read rate.
     """
 
     def __init__(self, gap: float = 0.0) -> None:
         self.gap = gap
         self.speed = ReadSpeed()
-        self._share = FIRST_SHARE
-        self._calm = 0
+        self._share = INITIAL_SHARE
+        self._unaffected = 0
         self._waited = False
-        self._given: deque[tuple[float, int]] = deque()
-        self._sum = 0
+        self._sent: deque[tuple[float, int]] = deque()
+        self._sent_tokens = 0
 
     @property
     def limit(self) -> int:
-        """Tokens that may be given within the window."""
+        """Maximum number of prompt tokens within the window."""
         return int(self.speed.rate * self._share * self.gap)
 
     def take(self, tokens: int, now: float) -> None:
-        """Count a prompt that is sent now."""
-        self._given.append((now, tokens))
-        self._sum += tokens
+        """Count a prompt that is being sent."""
+        self._sent.append((now, tokens))
+        self._sent_tokens += tokens
 
     def note_pause(self, pause: float) -> None:
-        """Take in the longest pause of an answer, in seconds."""
-        if self.gap < pause <= PAUSE_FACTOR * self.gap:
-            lower = min(self._share, MOST_SHARE) * SHARE_FACTOR
-            self._share, self._calm = max(LEAST_SHARE, lower), 0
+        """Record the longest pause of an answer, in seconds."""
+        if self.gap < pause <= MAX_PAUSE_FACTOR * self.gap:
+            reduced = min(self._share, MAX_SHARE) * SHARE_FACTOR
+            self._share, self._unaffected = max(MIN_SHARE, reduced), 0
             return
-        self._calm = self._calm + 1 if pause <= CALM_SHARE * self.gap else 0
-        if self._share < MOST_SHARE:
-            self._share = min(MOST_SHARE, self._share + SHARE_STEP)
-        if self._waited and self._calm >= CALM_ANSWERS:
-            # the engine bears more than it was given, and somebody waited for it
+        self._unaffected = (
+            self._unaffected + 1 if pause <= UNAFFECTED_SHARE * self.gap else 0
+        )
+        if self._share < MAX_SHARE:
+            self._share = min(MAX_SHARE, self._share + SHARE_STEP)
+        if self._waited and self._unaffected >= MIN_UNAFFECTED_ANSWERS:
+            # The engine handles more prompts than it was sent while some waited.
             self._share *= RISE_FACTOR
-            self._calm, self._waited = 0, False
+            self._unaffected, self._waited = 0, False
 
     def wait(self, tokens: int, now: float) -> float:
-        """Return the seconds until a prompt may be sent, 0 for at once.
+        """Return the seconds until a prompt may be sent, 0 for immediately.
 
-        One that is longer than the limit is sent when nothing else is in the window.
+        A prompt longer than the limit is sent when the window is empty.
         """
-        self._forget(now)
-        left, wait = self._sum, 0.0
-        for given, size in self._given:
-            if left + tokens <= self.limit:
+        self._discard_expired(now)
+        in_window, wait = self._sent_tokens, 0.0
+        for sent_at, size in self._sent:
+            if in_window + tokens <= self.limit:
                 break
-            left -= size
-            wait = given + self.gap - now
+            in_window -= size
+            wait = sent_at + self.gap - now
         self._waited = self._waited or wait > 0
         return max(0.0, wait)
 
     def delay(self, queued: int, now: float) -> float:
-        """Return the seconds that a new prompt waits, by a rough estimate.
+        """Return a rough estimate of the seconds that a new prompt waits.
 
-        :param queued: tokens of the prompts that wait before it.
+        :param queued: total tokens of the prompts queued ahead of it.
+        :param now: monotonic seconds.
         """
-        self._forget(now)
+        self._discard_expired(now)
         limit = self.limit
         if not limit:
             return 0.0
-        return max(0.0, (self._sum + queued) / limit - 0.5) * self.gap
+        return max(0.0, (self._sent_tokens + queued) / limit - 0.5) * self.gap
 
-    def _forget(self, now: float) -> None:
-        while self._given and now - self._given[0][0] >= self.gap:
-            self._sum -= self._given.popleft()[1]
+    def _discard_expired(self, now: float) -> None:
+        while self._sent and now - self._sent[0][0] >= self.gap:
+            self._sent_tokens -= self._sent.popleft()[1]
--- a/src/ibishead/decisions/views.py
+++ b/src/ibishead/decisions/views.py
@@ -1,4 +1,4 @@
-"""What an entry host knows of its targets, and which of them an adapter concerns."""
+"""An entry host's view of its targets, and the lookup of targets for an adapter."""
 
 from bisect import bisect_left, insort
 from collections import deque
@@ -13,26 +13,27 @@
 
 __all__ = ["EntryView", "TargetIndex"]
 
-#: Points of each target on the hash ring; more make the shares more even.
+#: Points of each target on the hash ring. More points make the shares more even.
 RING_POINTS = 32
-#: Targets that the ring proposes for an adapter. Above the placement's own number
-#: of candidates, so that some may be down, full or slow.
-NEIGHBOURS = 4
-#: Holders looked at for one adapter: a service's hottest may be on every target.
+#: Targets that the ring proposes for an adapter. More than `HASH_CANDIDATES` of the
+#: placement, so that some of them may be down, full or slow.
+MAX_NEIGHBOURS = 4
+#: Maximum holders considered for one adapter. A service's most used adapter may be on
+#: every target.
 MAX_HOLDERS = 6
-#: Targets up to which all are looked at.
-SMALL_FLEET = 16
-#: Seconds for which an own dispatch counts when no report comes. An agent that is
-#: silent for longer isn't reachable; the count must not grow without end.
-MAX_UNREPORTED = 5.0
-#: Seconds by which a report may be older than its arrival.
-REPORT_LAG = 0.1
+#: Number of targets up to which all of them are considered.
+SMALL_FLEET_SIZE = 16
+#: Time for which an own dispatch counts if no report arrives. An agent that is silent
+#: for longer is not reachable, and the count must not grow without bound.
+MAX_UNREPORTED_SECONDS = 5.0
+#: Assumed age of a report on arrival.
+REPORT_LAG_SECONDS = 0.1
 
 
 class TargetIndex:
-    """Finds the targets that an adapter concerns without looking at all of them.
+    """Finds the targets relevant to an adapter without considering all of them.
 
-    A lookup costs the logarithm of the ring and the few targets that it returns.
+    A lookup takes time logarithmic in the ring size, plus the number of results.
     """
 
     def __init__(self) -> None:
@@ -44,15 +45,15 @@
         return len(self._held)
 
     def add(self, target: TargetId) -> None:
-        """Take a target in; again without effect."""
+        """Add a target; no effect if it is already known."""
         if target in self._held:
             return
         self._held[target] = frozenset()
-        for point in _points(target):
+        for point in _list_ring_points(target):
             insort(self._ring, (point, target))
 
     def remove(self, target: TargetId) -> None:
-        """Forget a target and what it holds."""
+        """Remove a target and the adapters that it holds."""
         if target not in self._held:
             return
         self.set_held(target, frozenset())
@@ -60,7 +61,7 @@
         self._ring = [entry for entry in self._ring if entry[1] != target]
 
     def set_held(self, target: TargetId, digests: frozenset[int]) -> None:
-        """Record all adapters that a known target has in slots or on their way."""
+        """Record all adapters resident or being loaded on a known target."""
         before = self._held[target]
         if before == digests:
             return
@@ -74,14 +75,14 @@
             self._holders.setdefault(digest, []).append(target)
 
     def find(self, digest: int, draw: float = 0.0) -> list[TargetId]:
-        """Return holders and ring neighbours of an adapter, each once.
+        """Return the holders and ring neighbours of an adapter, without duplicates.
 
-        Of many holders only some are proposed, from a place drawn by chance on, so that
-        all copies are used.
+        If there are many holders, only some are returned, starting at a random
+        position, so that all copies are used.
 
-        :param draw: from 0 up to 1.
+        :param draw: random number in [0, 1).
         """
-        if len(self._held) <= SMALL_FLEET:
+        if len(self._held) <= SMALL_FLEET_SIZE:
             return list(self._held)
         holders = self._holders.get(digest, [])
         first = int(draw * len(holders))
@@ -92,7 +93,7 @@
         return list(found)
 
     def _add_neighbours(self, digest: int, found: dict[TargetId, None]) -> None:
-        size, limit = len(self._ring), len(found) + NEIGHBOURS
+        size, limit = len(self._ring), len(found) + MAX_NEIGHBOURS
         start = bisect_left(self._ring, (digest, ""))
         for step in range(min(size, limit * RING_POINTS)):
             found[self._ring[(start + step) % size][1]] = None
@@ -100,13 +101,13 @@
                 return
 
 
-def _points(target: TargetId) -> Iterable[int]:
+def _list_ring_points(target: TargetId) -> Iterable[int]:
     for number in range(RING_POINTS):
         yield xxhash.xxh32_intdigest(target.encode(), number)
 
 
 @dataclass
-class _Known:
+class _TargetState:
     view: TargetView
     report: LoadReport
     recent: deque[tuple[float, int]] = field(default_factory=deque)
@@ -115,93 +116,95 @@
 class EntryView:
     """One entry host's view of a service's targets.
 
-    Own dispatches count until a report can include them, and their adapters count as on
-    their way, so that a burst between two reports is spread.
+    The host's own dispatches count until a report can include them, and their adapters
+    count as being loaded, so that a burst between two reports is spread over targets.
 
-    :param lag: seconds by which a report may be older than its arrival.
+    :param lag: maximum age in seconds of a report on arrival.
     """
 
-    def __init__(self, lag: float = REPORT_LAG) -> None:
+    def __init__(self, lag: float = REPORT_LAG_SECONDS) -> None:
         self._lag = lag
-        self._known: dict[TargetId, _Known] = {}
+        self._states: dict[TargetId, _TargetState] = {}
         self._index = TargetIndex()
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._states)
 
     def add(self, target: TargetId, failure_domain: FailureDomain) -> None:
-        """Take in a registered target that hasn't reported yet."""
-        if target not in self._known:
+        """Add a registered target that has not reported yet."""
+        if target not in self._states:
             report = LoadReport(target, 0, 0, 1, 8, (), (), 1.0)
-            self._known[target] = _Known(TargetView(target, failure_domain), report)
+            self._states[target] = _TargetState(
+                TargetView(target, failure_domain), report
+            )
             self._index.add(target)
 
     def remove(self, target: TargetId) -> None:
-        """Forget a target whose registration has ended."""
-        self._known.pop(target, None)
+        """Remove a target whose registration has ended."""
+        self._states.pop(target, None)
         self._index.remove(target)
 
     def observe(self, report: LoadReport, now: float) -> None:
-        """Take in a report; one of an unknown target is ignored.
+        """Record a report; reports of unknown targets are ignored.
 
-        :param now: monotonic seconds of its arrival.
+        :param now: monotonic time of its arrival in seconds.
         """
-        known = self._known.get(report.target)
-        if known is None:
+        state = self._states.get(report.target)
+        if state is None:
             return
-        while known.recent and known.recent[0][0] <= now - self._lag:
-            known.recent.popleft()
-        known.report = report
-        self._correct(known)
+        while state.recent and state.recent[0][0] <= now - self._lag:
+            state.recent.popleft()
+        state.report = report
+        self._update_view(state)
 
     def record_dispatch(self, target: TargetId, adapter: int, now: float) -> None:
         """Count an own dispatch until a report can include it."""
-        known = self._known[target]
-        while known.recent and known.recent[0][0] <= now - MAX_UNREPORTED:
-            known.recent.popleft()
-        known.recent.append((now, adapter))
-        self._correct(known)
+        state = self._states[target]
+        while state.recent and state.recent[0][0] <= now - MAX_UNREPORTED_SECONDS:
+            state.recent.popleft()
+        state.recent.append((now, adapter))
+        self._update_view(state)
 
     def set_reachable(self, target: TargetId, reachable: bool) -> None:
-        """Record that the link to the target's agent came up or went down."""
-        known = self._known.get(target)
-        if known is not None and known.view.reachable != reachable:
-            known.view = replace(known.view, reachable=reachable)
+        """Record whether the link to the target's agent is up."""
+        state = self._states.get(target)
+        if state is not None and state.view.reachable != reachable:
+            state.view = replace(state.view, reachable=reachable)
 
     def candidates(self, adapter: int, draw: float = 0.0) -> list[TargetView]:
-        """Return the views among which `place` chooses for this adapter.
+        """Return the views from which `place` chooses for this adapter.
 
-        :param draw: from 0 up to 1, see `TargetIndex.find`.
+        :param draw: random number in [0, 1), see `TargetIndex.find`.
         """
         if not adapter:
-            return [known.view for known in self._known.values()]
-        return [self._known[target].view for target in self._index.find(adapter, draw)]
+            return [state.view for state in self._states.values()]
+        return [self._states[target].view for target in self._index.find(adapter, draw)]
 
     def place(self, query: PlacementQuery, draw: Callable[[], float]) -> Placed | None:
-        """Choose a target among the candidates, or among all when none can take it.
+        """Choose a target among the candidates, or among all if no candidate is usable.
 
-        :param draw: returns a number from 0 up to 1, to break ties.
+        :param draw: returns a random number in [0, 1), to break ties.
         """
-        if len(self._known) <= SMALL_FLEET:
+        if len(self._states) <= SMALL_FLEET_SIZE:
             return place(query, self.all(), draw)
         placed = place(query, self.candidates(query.adapter, draw()), draw)
         return placed or place(query, self.all(), draw)
 
     def all(self) -> list[TargetView]:
         """Return the views of all targets."""
-        return [known.view for known in self._known.values()]
+        return [state.view for state in self._states.values()]
 
-    def _correct(self, known: _Known) -> None:
-        report, view = known.report, known.view
+    def _update_view(self, state: _TargetState) -> None:
+        report, view = state.report, state.view
         resident = frozenset(report.resident)
-        own = [adapter for _, adapter in known.recent if adapter]
+        own = [adapter for _, adapter in state.recent if adapter]
         loading = frozenset(report.loading).union(own) - resident
-        known.view = TargetView(
+        state.view = TargetView(
             target=view.target,
             failure_domain=view.failure_domain,
             running=report.running,
             queued=report.queued,
-            recent=len(known.recent),
+            recent=len(state.recent),
             batch=report.batch,
             slots=report.slots,
             resident=resident,
--- a/tests/decisions/test_batchslots.py
+++ b/tests/decisions/test_batchslots.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ibishead.decisions.batchslots import FIRST_INTERVAL, BatchSlots
+from ibishead.decisions.batchslots import INITIAL_INTERVAL_SECONDS, BatchSlots
 
 
 @given(st.integers(1, 8), st.lists(st.booleans(), max_size=60))
@@ -48,7 +48,7 @@
 def test_the_delay_follows_the_ends_of_a_full_batch():
     batch = BatchSlots(1)
     batch.begin()
-    assert batch.delay(2) == pytest.approx(2 * FIRST_INTERVAL)
+    assert batch.delay(2) == pytest.approx(2 * INITIAL_INTERVAL_SECONDS)
     for now in range(100):
         batch.end(1, now * 0.5)
         batch.begin()
--- a/tests/decisions/test_holding.py
+++ b/tests/decisions/test_holding.py
@@ -7,8 +7,8 @@
 from ibishead.decisions.holding import (
     HOLD_LEAST,
     HOLD_MOST,
-    RETURN_LEAST,
-    RETURN_MOST,
+    MAX_RETRY_AFTER_SECONDS,
+    MIN_RETRY_AFTER_SECONDS,
     expect_routes,
     find_hold,
 )
@@ -37,7 +37,10 @@
 
     arrivals = [draw.uniform(0.0, outage) for _ in range(500)]
     held = [is_served(a, outage, find_hold(DEADLINE), come_back) for a in arrivals]
-    short = [is_served(a, outage, HOLD_LEAST, lambda _: RETURN_LEAST) for a in arrivals]
+    short = [
+        is_served(a, outage, HOLD_LEAST, lambda _: MIN_RETRY_AFTER_SECONDS)
+        for a in arrivals
+    ]
     assert held.count(False) < 0.1 * len(held)
     assert held.count(False) <= short.count(False)
 
@@ -54,7 +57,8 @@
 
 
 @pytest.mark.parametrize(
-    ("waited", "wait"), [(0.1, RETURN_LEAST), (2.0, 2.0), (99.0, RETURN_MOST)]
+    ("waited", "wait"),
+    [(0.1, MIN_RETRY_AFTER_SECONDS), (2.0, 2.0), (99.0, MAX_RETRY_AFTER_SECONDS)],
 )
 def test_the_time_to_come_back_follows_the_outage(waited, wait):
     assert expect_routes(waited) == wait
--- a/tests/decisions/test_readspeed.py
+++ b/tests/decisions/test_readspeed.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ibishead.decisions.readspeed import FIRST_RATE, MOST_RATE, ReadSpeed
+from ibishead.decisions.readspeed import FIRST_RATE, MAX_RATE, ReadSpeed
 from ibishead.decisions.turns import PromptWindow
 
 
@@ -51,7 +51,7 @@
         # equal lengths tell nothing of the speed
         ([(700, 0.05)] * 40, FIRST_RATE),
         # length makes no difference
-        ([(100 * n, 0.05) for n in range(1, 33)], MOST_RATE),
+        ([(100 * n, 0.05) for n in range(1, 33)], MAX_RATE),
     ],
 )
 def test_answers_that_tell_little(samples, expected):
--- a/tests/decisions/test_sendrate.py
+++ b/tests/decisions/test_sendrate.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ibishead.decisions.sendrate import LEAST_RATE, SendRate
+from ibishead.decisions.sendrate import MIN_RATE, SendRate
 
 WINDOW = 4.0
 
@@ -19,7 +19,7 @@
 
 
 @given(
-    st.floats(LEAST_RATE, 50.0),
+    st.floats(MIN_RATE, 50.0),
     st.sampled_from([0.0, 1.0]),
     st.lists(st.floats(0.0, 20.0), max_size=80).map(sorted),
 )
@@ -63,7 +63,7 @@
     """Only its own answer tells that it takes requests again."""
     rate = SendRate()
     rate.limit(0.0, 0.0)
-    assert rate.wait(0.0) == pytest.approx(1 / LEAST_RATE)
+    assert rate.wait(0.0) == pytest.approx(1 / MIN_RATE)
 
 
 @pytest.mark.parametrize(("new", "wait"), [(4.0, 0.5), (1.0, 2.0), (2.0, 1.0)])
