--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -107,7 +107,7 @@
         "return adapter.model_wait + LOAD_DELAY",
         (
             "tests/decisions/test_choice.py"
-            "::test_an_engine_that_comes_back_gets_no_more_than_it_loads_in_time",
+            "::test_restarting_engine_gets_no_more_than_it_can_load_in_time",
         ),
     ),
     Guard(
@@ -115,17 +115,14 @@
         "decisions/choice.py",
         "    if need.weights is None:\n        # An engine runs",
         "    if True:\n        # An engine runs",
-        (
-            "tests/decisions/test_choice.py"
-            "::test_a_busy_engine_that_holds_the_adapter_is_asked_first",
-        ),
+        ("tests/decisions/test_choice.py::test_busy_engine_with_adapter_is_preferred",),
     ),
     Guard(
         "loads at once follow the store",
         "decisions/loadpace.py",
         "if seconds > SLOW_RATIO * self._median:",
         "if False:",
-        ("tests/decisions/test_loadpace.py::test_loads_at_once_follow_the_store",),
+        ("tests/decisions/test_loadpace.py::test_concurrent_loads_follow_store_speed",),
     ),
     Guard(
         "what helps most callers is loaded first",
@@ -134,9 +131,9 @@
         "key=lambda w: (0, -w.asked)",
         (
             "tests/decisions/test_residents.py"
-            "::test_loads_that_help_callers_in_time_go_first",
+            "::test_loads_that_serve_callers_in_time_go_first",
             "tests/decisions/test_loadpace.py"
-            "::test_more_callers_are_in_time_when_all_engines_load",
+            "::test_learned_limit_serves_more_callers_when_all_engines_load",
         ),
     ),
     Guard(
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission and retries: who is let in, and what the refused are told."""
+"""Tests of admission control and of the retry policy."""
 
 import pytest
 from hypothesis import given
@@ -34,19 +34,19 @@
         ({"capacity": 0}, ErrorCode.NO_TARGET),
         ({"deadline": 1.0}, ErrorCode.DEADLINE_UNREACHABLE),
         ({"expected_wait": 29.0}, ErrorCode.DEADLINE_UNREACHABLE),
-        # The last part of the queue is the higher classes'.
+        # The last part of the queue is reserved for higher priorities.
         ({"waiting": 120, "priority": 0}, ErrorCode.OVERLOADED),
         ({"waiting": 120, "priority": 9}, None),
         ({"waiting": 250, "priority": 9}, ErrorCode.OVERLOADED),
-        # The lowest class keeps a part of a queue that others have filled.
+        # Each class may use its reserved share of a queue that others have filled.
         ({"waiting": 250, "priority": 0, "class_waiting": 3}, None),
-        # A team is held to its share only under contention.
+        # A team is limited to its share only under contention.
         ({"waiting": 10, "team_share": 0.1, "team_waiting": 90}, None),
         (
             {"waiting": 100, "team_share": 0.1, "team_waiting": 90},
             ErrorCode.OVERLOADED,
         ),
-        # A long backlog at the store refuses what needs a load, and nothing else.
+        # A long load backlog rejects only requests that need a load.
         ({"wishes": 40, "needs_load": True}, ErrorCode.OVERLOADED),
         ({"wishes": 40, "needs_load": False}, None),
     ],
@@ -74,7 +74,7 @@
 
 
 @given(queries)
-def test_refusals_carry_a_time_to_come_back(asked):
+def test_rejections_have_a_bounded_retry_delay(asked):
     verdict = admit(asked)
     if isinstance(verdict, Refused):
         assert 0.0 < verdict.retry_after <= 120.0
@@ -84,8 +84,11 @@
 
 
 @given(queries.filter(lambda asked: isinstance(admit(asked), Refused)))
-def test_refused_callers_return_spread(asked):
-    """A thousand callers are refused within one second of saturation."""
+def test_jitter_spreads_retry_delays(asked):
+    """Guards against a thousand rejected callers that all retry at the same moment.
+
+    They are rejected within one second of saturation, by the same figures.
+    """
     low = admit(query_with(asked, 0.0)).retry_after
     high = admit(query_with(asked, 0.99)).retry_after
     assert high > 1.9 * low
@@ -112,8 +115,8 @@
 
 
 @given(st.lists(st.booleans(), min_size=100, max_size=500))
-def test_retries_never_amplify(fails):
-    """Every target fails for a while, and every attempt would be repeated."""
+def test_retry_budget_bounds_retries(fails):
+    """Guards against retries that multiply the load while all targets fail."""
     budget = RetryBudget()
     retries = 0
     for failed in fails:
@@ -124,8 +127,11 @@
     assert retries <= 10 + 0.1 * len(fails)
 
 
-def test_burst_of_short_requests_is_not_refused():
-    """A path to a stock service was silent for two seconds and is back."""
+def test_burst_of_short_requests_is_accepted():
+    """Guards against rejecting requests that accumulated during a short link outage.
+
+    The link to a plain service was down for two seconds; the queue drains at once.
+    """
     query = AdmissionQuery(
         priority=5,
         deadline=10.0,
--- a/tests/decisions/test_agent_decisions.py
+++ b/tests/decisions/test_agent_decisions.py
@@ -1,4 +1,4 @@
-"""Eviction, loading and the order of runs: what an agent decides by itself."""
+"""Tests of eviction, load order and run order, as decided by an agent."""
 
 import pytest
 from hypothesis import given
@@ -22,11 +22,11 @@
         ((), None),
         ((SlotView(1, 1, 0.0),), None),
         ((SlotView(1, 1, 0.0), SlotView(2, 0, 90.0, 50.0)), 2),
-        # The less frequent leaves, although it was used last.
+        # The less frequently used adapter is evicted, although it was used last.
         ((SlotView(1, 0, 80.0, 9.0), SlotView(2, 0, 90.0, 1.0)), 2),
-        # A favourite of yesterday has been silent for too long.
+        # A high count no longer protects an adapter that was idle for too long.
         ((SlotView(1, 0, -9000.0, 90.0), SlotView(2, 0, 90.0, 1.0)), 1),
-        # One that requests wait for stays as long as another can go.
+        # A slot with waiting requests is evicted only if there is no other.
         ((SlotView(1, 0, 0.0, 0.1, waiting=1), SlotView(2, 0, 90.0, 9.0)), 2),
     ],
 )
@@ -46,7 +46,7 @@
 
 
 @given(st.lists(slot_views), st.booleans())
-def test_never_evicts_a_pinned_slot(slots, spare):
+def test_pinned_slot_is_never_evicted(slots, spare):
     victim = choose_victim(slots, 100.0, spare_waiting=spare)
     free = [slot for slot in slots if not slot.pins and not (spare and slot.waiting)]
     if victim is None:
@@ -55,7 +55,7 @@
         assert victim in free
 
 
-def test_reuse_ages():
+def test_reuse_count_decays():
     counter = ReuseCounter(half_life=10.0)
     for _ in range(4):
         counter.observe_use(1, 0.0)
@@ -65,7 +65,7 @@
     assert counter.read(3, 20.0) == 0.0
 
 
-def test_reuse_counter_stays_bounded():
+def test_reuse_counter_is_bounded():
     counter = ReuseCounter()
     for digest in range(10_000):
         counter.observe_use(digest, float(digest))
@@ -79,9 +79,9 @@
         ((), None),
         ((LoadWish(1, 1, 1.0, 5), LoadWish(2, 4, 1.0, 5)), 2),
         ((LoadWish(1, 1, 1.0, 9), LoadWish(2, 1, 1.0, 0)), 1),
-        # Age lifts the lone caller of the lowest class.
+        # Age outweighs priority and number of requests.
         ((LoadWish(1, 1, 60.0, 0), LoadWish(2, 2, 1.0, 9)), 1),
-        # A failed load waits for its time.
+        # A failed load is not retried before its delay has passed.
         ((LoadWish(1, 9, 9.0, 9, not_before=101.0), LoadWish(2, 1, 0.0, 0)), 2),
         ((LoadWish(1, 9, 9.0, 9, not_before=101.0),), None),
     ],
@@ -94,7 +94,7 @@
     )
 
 
-def test_failed_loads_back_off_and_move():
+def test_failed_loads_back_off_and_move_requests():
     backoff = LoadBackoff()
     assert not backoff.observe_failure(1, 10.0)
     first = backoff.read(1) - 10.0
@@ -106,7 +106,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 2.0), st.booleans()), max_size=200))
-def test_permits_keep_rate_and_places(steps):
+def test_permits_respect_rate_and_concurrency(steps):
     permits = LoadPermits()
     now, running, taken = 0.0, 0, 0
     for pause, release in steps:
@@ -140,12 +140,12 @@
         ((), 0.5, None),
         ((item("a", ready=False),), 0.5, None),
         ((item("a", priority=3), item("b", priority=6)), 0.5, "b"),
-        # Batch efficiency lets the adapter that runs go first, load stalls don't.
+        # The adapter in the batch goes first by batch efficiency, not by load stalls.
         ((item("a", arrived=99.0), item("b", adapter=8)), 0.0, "b"),
         ((item("a", arrived=99.0), item("b", adapter=8)), 1.0, "a"),
-        # Only for a bounded wait.
+        # Grouping by adapter is limited to a bounded wait.
         ((item("a", arrived=96.5), item("b", adapter=8, arrived=96.6)), 0.5, "a"),
-        # The team that has run less goes first within a class.
+        # The team with less usage goes first within a priority.
         ((item("a", arrived=99.0), item("b", team=TeamId("b"))), 0.5, "b"),
     ],
 )
@@ -162,7 +162,7 @@
     st.lists(st.integers(1, 9), min_size=200, max_size=200),
 )
 def test_no_request_starves(priority, weight, steps):
-    """One request waits while newer ones of higher classes keep coming."""
+    """Guards against a request that starves while higher priorities keep arriving."""
     others = [min(9, priority + step) for step in steps]
     lone = item("lone", priority=priority, arrived=0.0, adapter=3)
     queue = [lone]
@@ -178,12 +178,12 @@
     assert lone not in queue
 
 
-def test_late_requests_are_known_before_their_deadline():
+def test_late_requests_are_found_before_their_deadline():
     late = choose_late([item("a", deadline=101.0), item("b")], 100.0, 2.0)
     assert [entry.request for entry in late] == ["a"]
 
 
-def test_fair_queue_ages():
+def test_team_usage_decays():
     fair = FairQueue()
     fair.observe_run(TeamId("a"), 0.0, cost=4.0)
     assert fair.read(0.0) == {TeamId("a"): 4.0}
--- a/tests/decisions/test_batchslots.py
+++ b/tests/decisions/test_batchslots.py
@@ -1,4 +1,7 @@
-"""Slots of an engine's batch: never more in use, none lost for good."""
+"""Tests of batch slot accounting.
+
+The batch is never exceeded, and no slot stays occupied after its gateway is lost.
+"""
 
 import pytest
 from hypothesis import given
@@ -8,7 +11,7 @@
 
 
 @given(st.integers(1, 8), st.lists(st.booleans(), max_size=60))
-def test_no_more_begin_than_there_are_slots(slots, steps):
+def test_slots_are_never_exceeded(slots, steps):
     batch, running = BatchSlots(slots), 0
     for now, begins in enumerate(steps):
         if begins and not batch.full:
@@ -25,7 +28,7 @@
     ("counted", "reported", "begun", "used"),
     [(3, 3, 0, 3), (3, 1, 0, 1), (3, 1, 1, 2), (1, 4, 0, 1)],
 )
-def test_the_report_bounds_what_is_counted(counted, reported, begun, used):
+def test_report_bounds_slots_in_use(counted, reported, begun, used):
     batch = BatchSlots(12)
     for _ in range(counted - begun):
         batch.begin()
@@ -37,7 +40,7 @@
     assert batch.used == used
 
 
-def test_an_engine_without_a_bound_is_never_full():
+def test_engine_without_limit_is_never_full():
     batch = BatchSlots(0)
     for _ in range(500):
         batch.begin()
@@ -45,7 +48,7 @@
     assert batch.delay(9) == 0.0
 
 
-def test_the_delay_follows_the_ends_of_a_full_batch():
+def test_delay_follows_completion_interval_of_full_batch():
     batch = BatchSlots(1)
     batch.begin()
     assert batch.delay(2) == pytest.approx(2 * INITIAL_INTERVAL_SECONDS)
--- a/tests/decisions/test_bounds.py
+++ b/tests/decisions/test_bounds.py
@@ -1,7 +1,7 @@
-"""A short run of the policy bench stays within ``benchmarks/policy/bounds.ini``.
+"""A short policy benchmark run stays within ``benchmarks/policy/bounds.ini``.
 
-The clock is virtual and chance is seeded, so that a run gives the same figures on
-every machine.
+The clock is virtual and random numbers are seeded, so that a run gives the same figures
+on every host.
 """
 
 from configparser import ConfigParser
@@ -39,21 +39,24 @@
     found = play(make_run(workload))
     values = {name: getattr(found, name) for name in found.__dataclass_fields__}
     values["goodput"] = found.goodput / saturated_capacity(found.adapters)
-    broken = []
+    violations = []
     for option, text in read_bounds()[workload].items():
         side, name = option.split()
         bound = float(text)
-        kept = values[name] <= bound if side == "most" else values[name] >= bound
-        if not kept:
-            broken.append(f"{name} is {values[name]:.3f}, {side} {bound}")
-    assert broken == []
+        within = values[name] <= bound if side == "most" else values[name] >= bound
+        if not within:
+            violations.append(f"{name} is {values[name]:.3f}, {side} {bound}")
+    assert violations == []
 
 
-def test_loads_fewer_than_affinity():
-    ours, usual = play(make_run("steady")), play(make_run("steady", "affinity, LRU"))
-    assert ours.loads_per_second < 0.95 * usual.loads_per_second
-    assert ours.stall_mean < usual.stall_mean
+def test_fewer_loads_than_affinity_with_lru():
+    result, baseline = (
+        play(make_run("steady")),
+        play(make_run("steady", "affinity, LRU")),
+    )
+    assert result.loads_per_second < 0.95 * baseline.loads_per_second
+    assert result.stall_mean < baseline.stall_mean
 
 
-def test_same_seed_gives_the_same_figures():
+def test_same_seed_gives_same_figures():
     assert play(make_run("domain gone")) == play(make_run("domain gone"))
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -1,4 +1,4 @@
-"""Which target gets a request, under the loads that the choice is made for."""
+"""Tests of target selection under the loads that it is designed for."""
 
 import random
 
@@ -11,7 +11,7 @@
 HERE, THERE = FailureDomain("here"), FailureDomain("there")
 KEY = WeightKey(ModelName("m"), "a1")
 
-#: Callers in a second while an engine comes back, a few more than the others can bear.
+#: Requests per second while an engine restarts, slightly above the others' capacity.
 CALLERS = 120
 
 
@@ -39,7 +39,7 @@
         ((), None),
     ],
 )
-def test_the_least_delay_wins(candidates, expected):
+def test_least_delay_is_chosen(candidates, expected):
     assert choose(*candidates) == expected
 
 
@@ -61,13 +61,13 @@
         ({"a": AdapterPlace(serving=False)}, "a"),
     ],
 )
-def test_adapter_and_slots_are_weighed_with_load(places, expected):
+def test_adapter_state_and_slots_count_besides_load(places, expected):
     candidates = [make(name, adapter=place) for name, place in places.items()]
     assert choose(*candidates, need=Need(HERE, KEY)) == expected
 
 
-def test_gateways_that_know_nothing_of_each_other_choose_the_same_engine():
-    """An adapter is loaded on two engines where one would do."""
+def test_gateways_choose_same_engine_without_communication():
+    """Guards against loading an adapter on two engines where one would suffice."""
     candidates = [make(f"e{n}", adapter=AdapterPlace()) for n in range(9)]
     for number in range(50):
         need = Need(HERE, WeightKey(ModelName("m"), f"a{number}"), run_time=1.4)
@@ -76,8 +76,11 @@
         assert len(picks) == 1
 
 
-def test_equal_targets_share_a_burst():
-    """A burst meets equal reports at eight gateways; one target must not get it all."""
+def test_burst_is_spread_over_equal_targets():
+    """Guards against a burst that goes to one target from all gateways.
+
+    Eight gateways see the same reports at the same time.
+    """
     draw = random.Random(3).random
     counts = dict.fromkeys("abcd", 0)
     for _ in range(400):
@@ -85,7 +88,7 @@
     assert min(counts.values()) > 60
 
 
-def test_what_is_to_be_avoided_is_not_chosen():
+def test_avoided_target_is_not_chosen():
     need = Need(HERE, avoid=frozenset({TargetId("a")}))
     assert choose(make("a"), make("b", 7), need=need) == "b"
 
@@ -101,22 +104,25 @@
         ({"a": AdapterPlace(wished=True), "b": AdapterPlace(coming=True)}, "b"),
     ],
 )
-def test_an_engine_that_held_the_adapter_before_comes_next(places, expected):
+def test_engine_that_held_adapter_before_is_preferred(places, expected):
     candidates = [make(name, adapter=place) for name, place in places.items()]
     assert choose(*candidates, need=Need(HERE, KEY)) == expected
 
 
 @pytest.mark.parametrize(("waits", "expected"), [(0.3, "a"), (0.6, "b")])
-def test_a_further_copy_is_made_only_where_the_wait_is_long(waits, expected):
-    """Every engine fetches every adapter, and all wait for the store."""
+def test_another_copy_is_loaded_only_for_a_long_wait(waits, expected):
+    """Guards against every engine fetching every adapter, which overloads the store."""
     holder = make("a", prompt_wait=waits, adapter=AdapterPlace(resident=True))
     other = make("b", adapter=AdapterPlace())
     assert choose(holder, other, need=Need(HERE, KEY)) == expected
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_thousands_of_adapters_are_fetched_little_more_than_once(seed):
-    """The store is asked for all it can give, and callers wait a second for a load."""
+def test_adapters_are_rarely_fetched_more_than_once(seed):
+    """Guards against fetching adapters repeatedly, which saturates the store.
+
+    Callers then wait one second for a load.
+    """
     rng = random.Random(seed)
     names, weights = range(3000), [(n + 1) ** -1.2 for n in range(3000)]
     slots: dict[str, list[str]] = {f"e{n}": [] for n in range(9)}
@@ -147,11 +153,11 @@
     assert fetched < 1.1 * len(asked)
 
 
-def play_return(seed: int) -> float:
-    """Return the longest wait, in seconds, while one of nine engines comes back.
+def simulate_restart(seed: int) -> float:
+    """Return the longest wait, in seconds, while one of nine engines restarts.
 
-    CALLERS a second want adapters of their own. The engine holds its model again after
-    0.6 s, and each engine loads three adapters at once in a quarter of a second.
+    `CALLERS` requests per second need one adapter each. The engine has its model loaded
+    after 0.6 s, and each engine loads three adapters concurrently in 0.25 s.
     """
     draw = random.Random(seed)
     names = [TargetId(f"i-{n}") for n in range(9)]
@@ -188,9 +194,12 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_an_engine_that_comes_back_gets_no_more_than_it_loads_in_time(seed):
-    """Callers wait over a second although eight engines could serve them at once."""
-    assert play_return(seed) < 0.8
+def test_restarting_engine_gets_no_more_than_it_can_load_in_time(seed):
+    """Guards against a restarting engine that attracts all requests as it looks idle.
+
+    Callers then wait over a second although eight engines could serve them at once.
+    """
+    assert simulate_restart(seed) < 0.8
 
 
 @pytest.mark.parametrize(
@@ -198,13 +207,13 @@
     [
         (20, 0, "holder"),
         (30, 0, "holder"),
-        # a queue behind the batch, or prompts before it, are worth a copy elsewhere
+        # A queue behind the batch or a prompt backlog justifies another copy.
         (44, 0, "idle"),
         (20, 20_000, "idle"),
     ],
 )
-def test_a_busy_engine_that_holds_the_adapter_is_asked_first(busy, backlog, expected):
-    """Every adapter is brought to two engines, and evicts another one at each."""
+def test_busy_engine_with_adapter_is_preferred(busy, backlog, expected):
+    """Guards against loading every adapter on two engines, evicting another at each."""
     holder = make(
         "holder",
         busy,
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,4 +1,4 @@
-"""Targets that fail a part of their requests while they call themselves healthy."""
+"""Tests of targets that fail some requests while they report themselves healthy."""
 
 import random
 
@@ -12,7 +12,7 @@
 TARGETS, FAULTY, GATEWAYS = 9, 4, 8
 
 
-def test_a_share_rises_with_failures_and_falls_with_answers_and_time():
+def test_share_rises_with_failures_and_decays():
     share = FailureShare()
     for _ in range(3):
         share.note(True, 1.0)
@@ -23,21 +23,22 @@
     assert share.read(1.0) < before
 
 
-def play(seed: int, weighed: bool, shared: bool, rate: float = 72.0) -> float:
-    """Return the share of requests that fail in 4 s, in which some targets fail half.
+def simulate(seed: int, weighed: bool, shared: bool, rate: float = 72.0) -> float:
+    """Return the share of failed requests in 4 s in which some targets fail half.
 
-    :param weighed: failures count in the choice.
-    :param shared: the gateways tell each other.
+    :param weighed: failures count in the choice of the target.
+    :param shared: the gateways share their failure counts.
+    :param rate: requests per second.
     """
     rng = random.Random(seed)
-    books = [
+    shares_by_gateway = [
         [FailureShare() for _ in range(TARGETS)]
         for _ in range(1 if shared else GATEWAYS)
     ]
     now, failed, count = 0.0, 0, 0
     while now < 4.0:
         now += rng.expovariate(rate)
-        book = rng.choice(books)
+        shares = rng.choice(shares_by_gateway)
         candidates = [
             Candidate(
                 TargetId(str(n)),
@@ -46,22 +47,22 @@
                 32,
                 failures=share.read(now) if weighed else 0.0,
             )
-            for n, share in enumerate(book)
+            for n, share in enumerate(shares)
         ]
         chosen = choose_target(Need(HOME), candidates, rng.random)
         assert chosen is not None
         number = int(chosen.candidate.target)
         fails = number < FAULTY and rng.random() < 0.5
-        book[number].note(fails, now)
+        shares[number].note(fails, now)
         failed, count = failed + fails, count + 1
     return failed / count
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5])
-def test_few_requests_are_lost_to_targets_that_fail(seed):
-    """A part of all requests fails for as long as a fault of some engines lasts."""
-    blind = play(seed, weighed=False, shared=False)
-    alone = play(seed, weighed=True, shared=False)
-    told = play(seed, weighed=True, shared=True)
-    assert alone < 0.7 * blind
-    assert told < 0.4 * blind
+def test_few_requests_are_lost_to_failing_targets(seed):
+    """Guards against sending requests to faulty engines until their fault is gone."""
+    ignored = simulate(seed, weighed=False, shared=False)
+    alone = simulate(seed, weighed=True, shared=False)
+    shared = simulate(seed, weighed=True, shared=True)
+    assert alone < 0.7 * ignored
+    assert shared < 0.4 * ignored
--- a/tests/decisions/test_holding.py
+++ b/tests/decisions/test_holding.py
@@ -1,4 +1,4 @@
-"""What callers get while a host that has just started knows no routes."""
+"""Tests of how requests are held while a restarted host has no routes."""
 
 import random
 
@@ -13,30 +13,32 @@
     find_hold,
 )
 
-#: Seconds that callers have, and in which they leave a stream without an event.
-DEADLINE, LEAVE = 15.0, 3.2
+#: Deadline of callers, and the time after which they abandon a stream without events.
+DEADLINE, ABANDON_AFTER = 15.0, 3.2
 
 
-def is_served(arrival, known_at, hold, come_back):
-    """Return whether a caller who tries twice is there when routes are known."""
+def is_served(arrival, known_at, hold, choose_retry_delay):
+    """Return whether a caller that tries twice is waiting once routes are known."""
     now = arrival
     for _ in range(2):
         if now + hold >= known_at:
             return True
-        now += hold + come_back(now + hold)
+        now += hold + choose_retry_delay(now + hold)
     return False
 
 
 @pytest.mark.parametrize("outage", [2.0, 3.5, 5.0])
-def test_callers_of_an_outage_are_served_once_it_is_over(outage):
-    """Guards against callers who are refused twice before routes are known."""
+def test_callers_are_served_after_an_outage(outage):
+    """Guards against callers that are rejected twice before routes are known."""
     draw = random.Random(1)
 
-    def come_back(now):
+    def choose_retry_delay(now):
         return expect_routes(now) * (0.5 + draw.random())
 
     arrivals = [draw.uniform(0.0, outage) for _ in range(500)]
-    held = [is_served(a, outage, find_hold(DEADLINE), come_back) for a in arrivals]
+    held = [
+        is_served(a, outage, find_hold(DEADLINE), choose_retry_delay) for a in arrivals
+    ]
     short = [
         is_served(a, outage, HOLD_LEAST, lambda _: MIN_RETRY_AFTER_SECONDS)
         for a in arrivals
@@ -45,14 +47,14 @@
     assert held.count(False) <= short.count(False)
 
 
-def test_nobody_is_held_until_he_leaves():
-    assert find_hold(1000.0) < LEAVE
+def test_hold_ends_before_callers_leave():
+    assert find_hold(1000.0) < ABANDON_AFTER
 
 
 @pytest.mark.parametrize(
     ("patience", "hold"), [(None, HOLD_LEAST), (1.5, HOLD_LEAST), (60.0, HOLD_MOST)]
 )
-def test_routes_are_waited_for_by_what_the_caller_can_wait(patience, hold):
+def test_hold_follows_remaining_time_of_caller(patience, hold):
     assert find_hold(patience) == hold
 
 
@@ -60,5 +62,5 @@
     ("waited", "wait"),
     [(0.1, MIN_RETRY_AFTER_SECONDS), (2.0, 2.0), (99.0, MAX_RETRY_AFTER_SECONDS)],
 )
-def test_the_time_to_come_back_follows_the_outage(waited, wait):
+def test_retry_delay_follows_outage(waited, wait):
     assert expect_routes(waited) == wait
--- a/tests/decisions/test_leaving.py
+++ b/tests/decisions/test_leaving.py
@@ -1,4 +1,4 @@
-"""Which requests a host still takes while it leaves."""
+"""Tests of which requests a host accepts during a planned stop."""
 
 import pytest
 
@@ -6,23 +6,26 @@
 
 
 @pytest.mark.parametrize(
-    ("expected", "remaining", "taken"),
+    ("expected", "remaining", "accepted"),
     [(0.0, 7.7, True), (4.0, 7.7, True), (5.0, 7.7, False), (0.0, 1.5, False)],
 )
-def test_only_what_ends_in_time_is_taken(expected, remaining, taken):
-    assert fits_grace(expected, remaining) is taken
+def test_only_answers_that_end_in_time_are_accepted(expected, remaining, accepted):
+    assert fits_grace(expected, remaining) is accepted
 
 
-def test_answers_that_end_early_do_not_hide_the_pace():
-    """A long answer is cut by a planned stop, as short ones made it seem quick."""
+def test_short_answers_do_not_hide_slow_ones():
+    """Guards against cutting off a long answer at a planned stop.
+
+    Short answers had made the time per token look lower than it was.
+    """
     pace = AnswerPace()
     for number in range(200):
         pace.note(7.0 if number % 10 == 0 else 2.3, 500)
     assert not fits_grace(pace.expect(500), 5.65)
 
 
-def test_a_long_answer_that_begins_late_is_not_taken():
-    """A mender's plan breaks off in the middle while a host is updated."""
+def test_late_long_answer_is_not_accepted():
+    """Guards against an answer that is cut off in the middle during a host update."""
     pace = AnswerPace()
     for _ in range(200):
         pace.note(9.1, 483)
@@ -31,12 +34,14 @@
 
 
 @pytest.mark.parametrize(
-    ("pace", "answers", "taken"),
+    ("seconds_per_token", "answers", "accepted"),
     [(0.0066, 4, True), (0.0066, 3, False), (0.02, 4, False)],
 )
-def test_quick_engines_are_known_after_a_few_answers(pace, answers, taken):
-    """A planned stop turns callers away whose answers would end in time."""
-    known = AnswerPace()
+def test_fast_engines_are_recognized_after_few_answers(
+    seconds_per_token, answers, accepted
+):
+    """Guards against rejecting requests that would end before a planned stop."""
+    pace = AnswerPace()
     for _ in range(answers):
-        known.note(pace * 300, 300)
-    assert fits_grace(known.expect(400), 6.0) is taken
+        pace.note(seconds_per_token * 300, 300)
+    assert fits_grace(pace.expect(400), 6.0) is accepted
--- a/tests/decisions/test_loadpace.py
+++ b/tests/decisions/test_loadpace.py
@@ -1,4 +1,4 @@
-"""How long loads take, how many there are at once, and what callers get of it."""
+"""Tests of load time estimates and of the limit on concurrent loads."""
 
 import itertools
 import random
@@ -23,18 +23,18 @@
 MODEL = ModelName("m")
 SPEC = EngineSpec(32, 10**6, 100.0, 19, (ModelSpec(MODEL, 90.0, 5.0, 1.0),))
 
-#: Seconds of a load at full speed of the store, and loads that it brings at that speed.
+#: Load time at full speed of the store, and concurrent loads at that speed.
 STORE_TIME, STORE_SHARE = 0.25, 16
 
-#: Seconds of a step of the play, and callers in a second of it.
+#: Seconds of a simulation step, and requests per second.
 TICK, CALLERS = 0.005, 80.0
 
-#: Adapters, and how often each is asked for, added up.
+#: Adapters, and their cumulative request frequencies.
 ADAPTERS = range(3000)
 POPULARITY = list(itertools.accumulate((n + 1) ** -0.9 for n in ADAPTERS))
 
 #: Seconds within which an answer is in time, and after which its caller gives up.
-OBJECTIVE, PATIENCE = 0.5, 1.25
+OBJECTIVE, TIMEOUT = 0.5, 1.25
 
 
 @pytest.mark.parametrize(
@@ -43,24 +43,24 @@
         ([0.25] * 3, 2),
         ([0.25] * 8, 3),
         ([0.25] * 30, 4),
-        # a few stretched loads among calm ones change little
+        # A few slow loads among normal ones have little effect.
         (([0.25] * 9 + [0.4]) * 6, 3),
         ([0.25] * 30 + [0.5] * 8, 1),
         ([0.25] * 30 + [0.5] * 8 + [0.25] * 14, 3),
-        # copies that were still at hand tell nothing of the store
+        # Loads of local copies are ignored, as they do not use the store.
         ([0.25] * 6 + [0.04] * 4 + [0.25] * 5, 3),
-        # another customer's store, which is slow for everybody
+        # Another customer's store, which is slow at any load.
         ([2.0] * 30, 4),
     ],
 )
-def test_loads_at_once_follow_the_store(times, most):
+def test_concurrent_loads_follow_store_speed(times, most):
     pace = LoadPace()
     for number, seconds in enumerate(times):
         pace.note(seconds, number * 0.3)
     assert pace.most == most
 
 
-def test_the_present_time_of_a_load_is_known_and_forgotten():
+def test_current_load_time_is_estimated_and_decays():
     pace = LoadPace()
     assert pace.read(0.0) == FIRST_TIME
     for number in range(8):
@@ -72,7 +72,7 @@
 
 
 class _FixedPace(LoadPace):
-    """Three at once, and a quarter of a second, whatever the store does."""
+    """A fixed limit of three loads and a fixed load time of 0.25 s."""
 
     @property
     def most(self) -> int:
@@ -84,7 +84,7 @@
 
 @dataclass
 class _Engine:
-    """An engine, its steward, and the callers who wait there."""
+    """An engine with its steward and the requests that wait there."""
 
     pace: LoadPace
     loading: dict[str, tuple[float, float]] = field(default_factory=dict)
@@ -92,7 +92,7 @@
     waiting: dict[str, list[float]] = field(default_factory=dict)
 
     def order(self, now: float) -> None:
-        """Order loads until none is due."""
+        """Order loads until no further one is chosen."""
         while isinstance(order := self._choose(now), Load):
             self.loading[order.key.adapter] = (now, STORE_TIME)
 
@@ -107,7 +107,7 @@
             Wish(
                 WeightKey(MODEL, name),
                 1,
-                count_helped([(at + OBJECTIVE, at + PATIENCE) for at in asked], ready),
+                count_helped([(at + OBJECTIVE, at + TIMEOUT) for at in asked], ready),
                 max(asked),
             )
             for name, asked in self.waiting.items()
@@ -116,8 +116,8 @@
             SPEC, weights, wishes, {}, {}, ReuseCounter(), now, 0.0, self.pace
         )
 
-    def go_on(self, now: float, work: float) -> int:
-        """Bring what is loaded, and return how many callers begin in time."""
+    def advance(self, now: float, work: float) -> int:
+        """Complete due loads, and return how many answers begin in time."""
         timely = 0
         for name, (since, rest) in list(self.loading.items()):
             self.loading[name] = (since, rest - work)
@@ -130,16 +130,18 @@
             self.pace.note(now - since, now)
             timely += sum(now - at <= OBJECTIVE for at in self.waiting.pop(name, []))
         for name, asked in list(self.waiting.items()):
-            self.waiting[name] = [at for at in asked if now - at < PATIENCE]
+            self.waiting[name] = [at for at in asked if now - at < TIMEOUT]
             if not self.waiting[name]:
                 del self.waiting[name]
         return timely
 
 
-def _play(pace: type[LoadPace], before: float, seconds: float) -> float:
-    """Return the share of callers in time.
+def _simulate(pace: type[LoadPace], before: float, seconds: float) -> float:
+    """Return the share of answers that begin in time.
 
-    :param before: seconds for which callers have come when the engines are there.
+    :param pace: load limit to use.
+    :param before: seconds for which requests have arrived before the engines start.
+    :param seconds: duration of the simulation.
     """
     timely = asked = 0
     for seed in range(4):
@@ -159,18 +161,21 @@
                 continue
             for engine in engines:
                 engine.order(now)
-            under_way = sum(len(engine.loading) for engine in engines)
-            work = TICK * min(1.0, STORE_SHARE / max(1, under_way))
-            timely += sum(engine.go_on(now + TICK, work) for engine in engines)
+            loads = sum(len(engine.loading) for engine in engines)
+            work = TICK * min(1.0, STORE_SHARE / max(1, loads))
+            timely += sum(engine.advance(now + TICK, work) for engine in engines)
     return timely / asked
 
 
-def test_more_callers_are_in_time_when_all_engines_load():
-    """All engines restart empty, and callers have come for most of a second."""
-    fixed, learned = _play(_FixedPace, 0.8, 3.0), _play(LoadPace, 0.8, 3.0)
+def test_learned_limit_serves_more_callers_when_all_engines_load():
+    """Guards against too many concurrent loads after all engines restarted empty.
+
+    Requests have accumulated for most of a second.
+    """
+    fixed, learned = _simulate(_FixedPace, 0.8, 3.0), _simulate(LoadPace, 0.8, 3.0)
     assert learned > fixed + 0.05
 
 
-def test_calm_days_are_no_worse():
-    fixed, learned = _play(_FixedPace, 0.0, 12.0), _play(LoadPace, 0.0, 12.0)
+def test_learned_limit_is_no_worse_at_normal_load():
+    fixed, learned = _simulate(_FixedPace, 0.0, 12.0), _simulate(LoadPace, 0.0, 12.0)
     assert learned > fixed - 0.01
--- a/tests/decisions/test_modelwait.py
+++ b/tests/decisions/test_modelwait.py
@@ -1,4 +1,4 @@
-"""How long engines of several makes need until they hold a model."""
+"""Tests of how long engines of several kinds take until their model is loaded."""
 
 import pytest
 
@@ -24,24 +24,22 @@
 @pytest.mark.parametrize(
     ("spec", "source", "since", "now", "least", "most"),
     [
-        # ordered a moment ago, long ago, not yet
+        # The load was ordered recently, long ago, or not yet.
         (make_spec(0.6, 0.5), Source.DISK, 10.0, 10.1, 0.4, 0.6),
         (make_spec(0.6, 0.5), Source.DISK, 10.0, 10.6, 0.1, 0.3),
         (make_spec(0.6, 0.5), Source.DISK, None, 13.0, 0.5, 0.8),
         (make_spec(5.4, 2.2), Source.DISK, 10.0, 10.5, 1.5, 2.0),
-        # from the store, and while others load too
+        # The load comes from the store, also while others load.
         (make_spec(5.4, 2.2), Source.STORE, 10.0, 12.5, 2.8, 3.2),
         (make_spec(5.4, 2.2), Source.STORE, 10.0, 20.0, 2.0, 4.0),
-        # without a word of the disk
+        # The description states no load time from disk.
         (make_spec(5.4), Source.DISK, None, 0.0, 5.4, 6.0),
-        # nothing is known, or nothing fits
+        # There is no description, or no model fits.
         (None, Source.DISK, None, 0.0, 1.0, 5.0),
         (make_spec(5.4, megabytes=99.0), Source.STORE, None, 0.0, 1.0, 5.0),
     ],
 )
-def test_the_wait_follows_the_description_and_the_order(
-    spec, source, since, now, least, most
-):
+def test_wait_follows_description_and_order(spec, source, since, now, least, most):
     assert least <= expect_model(spec, source, since, now) <= most
 
 
@@ -54,12 +52,12 @@
         (("m",), ("m",), Source.MEMORY),
     ],
 )
-def test_the_nearest_copy_is_loaded(in_memory, on_disk, expected):
+def test_nearest_copy_is_loaded(in_memory, on_disk, expected):
     assert find_source(make_spec(5.4), in_memory, on_disk) is expected
 
 
-def test_nobody_waits_at_a_new_engine_that_fetches_its_model():
-    """Callers wait at an empty engine that was added, and are refused in the end."""
+def test_new_engine_that_fetches_its_model_is_not_chosen():
+    """Guards against requests that wait at a new engine and are then rejected."""
     spec = make_spec(5.4, 2.2)
     for spent in (0.1, 2.3, 5.0, 9.0):
         wait = expect_model(spec, Source.STORE, 10.0, 10.0 + spent)
@@ -75,8 +73,8 @@
         assert chosen.candidate.target == "busy"
 
 
-def test_after_a_loss_of_power_the_engine_that_is_back_first_is_chosen():
-    """Callers are refused although an engine would take them in half a second."""
+def test_engine_that_is_ready_first_is_chosen_after_power_failure():
+    """Guards against rejecting requests that an engine could accept after 0.5 s."""
     spec = make_spec(0.6, 0.5)
     waits = {"loads": expect_model(spec, Source.DISK, 1.0, 1.2), "lost": LOST_WAIT}
     candidates = [
--- a/tests/decisions/test_patience.py
+++ b/tests/decisions/test_patience.py
@@ -1,4 +1,4 @@
-"""How long answers to orders are waited for, on quick and on slowed hosts."""
+"""Tests of the order timeout on fast and on overloaded hosts."""
 
 import random
 
@@ -16,23 +16,26 @@
     [
         ([], MAX_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS),
         ([0.002] * 3, MIN_TIMEOUT_SECONDS, MIN_TIMEOUT_SECONDS),
-        # a slowed host
+        # An overloaded host answers slowly.
         ([0.02] * 3, 0.07, 0.09),
         ([0.002, 0.002, 0.02], 0.07, 0.09),
-        # quick again
+        # The host answers fast again.
         ([0.02] + [0.002] * 20, MIN_TIMEOUT_SECONDS, MIN_TIMEOUT_SECONDS),
         ([1.0], MAX_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS),
     ],
 )
-def test_patience_follows_the_answers(answers, least, most):
+def test_timeout_follows_answer_times(answers, least, most):
     patience = OrderPatience()
     for seconds in answers:
         patience.note_answer(seconds)
     assert least <= patience.seconds <= most
 
 
-def test_silence_in_a_row_is_waited_for_longer_until_an_answer_comes():
-    """A host turns slow: an answer that takes longer would never be heard."""
+def test_timeout_grows_until_an_answer_arrives():
+    """Guards against a timeout that stays below the answer time of a slow host.
+
+    Every answer would then arrive after its timeout.
+    """
     patience = OrderPatience()
     patience.note_answer(0.001)
     waits = []
@@ -46,13 +49,16 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_orders_left_unanswered_hold_the_others_up_little(seed):
-    """Callers wait a second for adapters that take a quarter of one."""
-    rng, patience, silences = random.Random(seed), OrderPatience(), []
+def test_unanswered_orders_delay_others_little(seed):
+    """Guards against unanswered orders that block the others.
+
+    Callers then wait one second for adapters that load in 0.25 s.
+    """
+    rng, patience, timeouts = random.Random(seed), OrderPatience(), []
     for _ in range(200):
         if rng.random() < 1 / 3:
-            silences.append(patience.seconds)
+            timeouts.append(patience.seconds)
             patience.note_silence()
         else:
             patience.note_answer(rng.uniform(0.001, 0.004))
-    assert sum(silences) < len(silences) * MAX_TIMEOUT_SECONDS / 2
+    assert sum(timeouts) < len(timeouts) * MAX_TIMEOUT_SECONDS / 2
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: where a request may go, and what moves it."""
+"""Tests of placement and of an entry host's view of its targets."""
 
 import random
 
@@ -37,14 +37,14 @@
 @pytest.mark.parametrize(
     ("targets", "chosen"),
     [
-        # A holder goes before an idle target.
+        # A holder is preferred to an idle target.
         ((view("a", resident=HOT, running=6), view("b")), "a"),
         ((view("a", loading=HOT, running=6), view("b")), "a"),
-        # The shorter of two holders' queues.
+        # Of two holders, the one with the shorter queue is chosen.
         ((view("a", resident=HOT, queued=20), view("b", resident=HOT)), "b"),
-        # A long queue at the only holder is worth a copy.
+        # A long queue at the only holder justifies a copy.
         ((view("a", resident=HOT, running=8, queued=60), view("b")), "b"),
-        # Not while the store is behind: the copy would delay many others.
+        # It does not while the store has a backlog: the copy would delay many loads.
         (
             (
                 view("a", resident=HOT, running=8, queued=2),
@@ -52,7 +52,7 @@
             ),
             "a",
         ),
-        # Requests that wait for their adapters don't make a holder busy.
+        # Requests that wait for their adapters do not count as load of a holder.
         (
             (
                 view("a", resident=HOT, running=4, queued=20, stalled=20),
@@ -60,7 +60,7 @@
             ),
             "a",
         ),
-        # A slow holder loses its work to another.
+        # A slow holder is avoided in favour of another.
         (
             (
                 view("a", resident=HOT, seconds_per_request=9.0),
@@ -75,8 +75,11 @@
 
 
 @pytest.mark.parametrize("adapter", [3, 77, 4099])
-def test_entry_hosts_agree_on_a_new_holder(adapter):
-    """A rare adapter is asked for at three entry hosts at once."""
+def test_entry_hosts_choose_same_new_holder(adapter):
+    """Guards against loading a rare adapter on several targets.
+
+    It is requested at several entry hosts at once.
+    """
     targets = [view(f"t{number}", coldest=1.0) for number in range(9)]
     hosts = [random.Random(seed) for seed in range(20)]
     chosen = {
@@ -111,7 +114,7 @@
     st.floats(0.0, 1.0),
     st.frozensets(st.sampled_from([TargetId(f"t{number}") for number in range(12)])),
 )
-def test_never_places_on_an_unusable_target(targets, adapter, weight, avoid):
+def test_unusable_target_is_never_chosen(targets, adapter, weight, avoid):
     query = PlacementQuery(adapter, weight, avoid=avoid)
     usable = {
         item.target
@@ -122,8 +125,11 @@
     assert (placed.target in usable) if usable else placed is None
 
 
-def test_burst_between_two_reports_spreads():
-    """Forty requests without an adapter arrive between two load reports."""
+def test_burst_between_two_reports_is_spread():
+    """Guards against sending a burst to one target until its next load report.
+
+    Forty requests without an adapter arrive between two reports.
+    """
     entry = EntryView()
     for name in "abcd":
         entry.add(TargetId(name), DOMAIN)
@@ -148,7 +154,7 @@
     assert (seen.recent, seen.resident, seen.wishes) == (0, HOT, 0)
 
 
-def test_falls_back_to_all_when_no_candidate_is_usable():
+def test_all_targets_are_considered_when_no_candidate_is_usable():
     entry = EntryView()
     for number in range(40):
         entry.add(TargetId(f"t{number}"), DOMAIN)
@@ -158,8 +164,8 @@
     assert entry.place(PlacementQuery(7), lambda: 0.5) is not None
 
 
-def test_all_copies_of_a_hot_adapter_serve():
-    """An adapter is on twenty of forty targets."""
+def test_all_copies_of_a_popular_adapter_are_used():
+    """Guards against using only some copies of an adapter that many targets hold."""
     entry = EntryView()
     for number in range(40):
         entry.add(TargetId(f"t{number}"), DOMAIN)
@@ -179,7 +185,7 @@
         )
     )
 )
-def test_index_finds_the_holders_of_known_targets_only(changes):
+def test_index_finds_holders_among_known_targets_only(changes):
     index = TargetIndex()
     held: dict[TargetId, frozenset[int]] = {}
     for number, change, digests in changes:
--- a/tests/decisions/test_residents.py
+++ b/tests/decisions/test_residents.py
@@ -1,4 +1,4 @@
-"""Which order an engine gets next."""
+"""Tests of the choice of the next load or unload order."""
 
 import pytest
 from hypothesis import given
@@ -66,7 +66,7 @@
         ),
     ],
 )
-def test_the_next_order(weights, wishes, expected):
+def test_next_order(weights, wishes, expected):
     order = choose(weights, wishes)
     assert order == expected if not isinstance(expected, type) else True
     if isinstance(expected, type):
@@ -77,19 +77,25 @@
     ("wishes", "expected"),
     [
         ([Wish(key("a"), 0, 1.0, 100.9), Wish(key("b"), 0, 1.0, 100.5)], "a"),
-        # whose callers are late already waits for those that can be in time
+        # Adapters whose callers are already late wait for those that can be in time.
         ([Wish(key("a"), 0, 0.9, 100.1), Wish(key("b"), 0, 1.0, 99.9)], "b"),
         ([Wish(key("a"), 0, 0.0, 99.0), Wish(key("b"), 0, 0.3, 98.0)], "b"),
         ([Wish(key("a"), 0, 2.0, 100.5), Wish(key("b"), 0, 1.0, 100.6)], "a"),
     ],
 )
-def test_loads_that_help_callers_in_time_go_first(wishes, expected):
-    """After an outage every caller is late, as each load is for one who was first."""
+def test_loads_that_serve_callers_in_time_go_first(wishes, expected):
+    """Guards against loading in order of arrival after an outage.
+
+    Each load would then serve a caller that is already late, and all would be late.
+    """
     assert choose(EngineWeights(hold()), wishes) == Load(key(expected))
 
 
-def test_an_adapter_in_use_never_leaves():
-    """All requests of an engine wait for seconds behind one adapter's change."""
+def test_adapter_in_use_is_never_unloaded():
+    """Guards against unloading an adapter in use, which stalls an engine for seconds.
+
+    All its requests wait until the runs with the adapter end.
+    """
     pinned = frozenset({key("a"), key("b"), key("c")})
     weights = EngineWeights(hold("a", "b", "c"), pinned=pinned)
     assert isinstance(choose(weights, (Wish(key("d"), 0),)), Idle)
@@ -107,7 +113,7 @@
         (2.3, 0.0, True, Idle),
     ],
 )
-def test_engines_replace_an_old_version_one_after_the_other(
+def test_engines_replace_outdated_version_at_different_times(
     since, place, pinned, expected
 ):
     floors = {key("a"): AdapterFloor(key("a"), 2, 1)}
@@ -123,9 +129,7 @@
     pinned=st.sets(st.sampled_from("abcdefg")),
     wished=st.sets(st.sampled_from("abcdefghijkl"), max_size=5),
 )
-def test_no_order_exceeds_the_slots_or_drops_what_is_in_use(
-    held, coming, pinned, wished
-):
+def test_orders_respect_slots_and_adapters_in_use(held, coming, pinned, wished):
     held = set(sorted(held)[: 3 - len(coming)])
     weights = EngineWeights(
         hold(*sorted(held)),
--- a/tests/decisions/test_sendrate.py
+++ b/tests/decisions/test_sendrate.py
@@ -1,4 +1,4 @@
-"""Requests to targets that name a limit: evenly spaced, whoever shares it."""
+"""Tests of request pacing for targets with a rate limit."""
 
 import pytest
 from hypothesis import given
@@ -10,7 +10,7 @@
 
 
 def send_all(rate: SendRate, asked: list[float]) -> list[float]:
-    """Return when requests go that are asked for at these seconds."""
+    """Return the times at which requests that arrive at given times are sent."""
     return [now + rate.take(now) for now in asked]
 
 
@@ -23,14 +23,14 @@
     st.sampled_from([0.0, 1.0]),
     st.lists(st.floats(0.0, 20.0), max_size=80).map(sorted),
 )
-def test_no_window_holds_more_than_the_limit_and_what_was_saved(limit, saved, asked):
+def test_no_window_exceeds_limit_and_saved_capacity(limit, saved, asked):
     rate = SendRate(saved)
     rate.limit(limit, 0.0)
     assert count_most(send_all(rate, asked)) <= limit * (WINDOW + saved) + 1 + 1e-6
 
 
 @pytest.mark.parametrize(("saved", "last"), [(0.0, 11.5), (1.0, 10.5)])
-def test_a_moment_without_requests_is_made_up_for(saved, last):
+def test_unused_capacity_is_used_later(saved, last):
     rate = SendRate(saved)
     rate.limit(2.0, 0.0)
     assert send_all(rate, [10.0] * 4)[-1] == last
@@ -41,8 +41,11 @@
     st.floats(1.0, 10.0),
     st.lists(st.floats(0.0, 1.0), min_size=12, max_size=12),
 )
-def test_senders_that_share_a_limit_keep_it_together(senders, limit, offsets):
-    """Each of them is asked more often than it may send."""
+def test_senders_respect_shared_limit(senders, limit, offsets):
+    """Guards against several senders that together exceed a limit.
+
+    Each of them receives more requests than it may send.
+    """
     sent = []
     for offset in offsets[:senders]:
         share = SendRate()
@@ -51,7 +54,7 @@
     assert count_most(sent) <= limit * WINDOW + senders
 
 
-def test_without_a_limit_nothing_waits():
+def test_no_wait_without_limit():
     rate = SendRate()
     assert send_all(rate, [1.0] * 9) == [1.0] * 9
     rate.limit(2.0, 1.0)
@@ -59,15 +62,18 @@
     assert rate.delay(7, 1.0) == 0.0
 
 
-def test_a_target_that_takes_nothing_is_asked_now_and_then():
-    """Only its own answer tells that it takes requests again."""
+def test_target_with_zero_limit_still_gets_requests():
+    """Guards against never noticing that a target accepts requests again.
+
+    Only its own answers show that.
+    """
     rate = SendRate()
     rate.limit(0.0, 0.0)
     assert rate.wait(0.0) == pytest.approx(1 / MIN_RATE)
 
 
 @pytest.mark.parametrize(("new", "wait"), [(4.0, 0.5), (1.0, 2.0), (2.0, 1.0)])
-def test_what_waits_moves_with_a_changed_limit(new, wait):
+def test_wait_is_rescaled_when_limit_changes(new, wait):
     rate = SendRate()
     rate.limit(2.0, 0.0)
     assert send_all(rate, [0.0]) == [0.5]
@@ -75,7 +81,7 @@
     assert rate.wait(0.0) == pytest.approx(wait)
 
 
-def test_the_delay_counts_those_before():
+def test_delay_includes_requests_ahead():
     rate = SendRate()
     rate.limit(2.0, 0.0)
     assert rate.delay(3, 0.0) == pytest.approx(2.0)
--- a/tests/decisions/test_turns.py
+++ b/tests/decisions/test_turns.py
@@ -1,4 +1,4 @@
-"""Prompts that wait for their turn, so that answers under way don't pause."""
+"""Tests of prompt scheduling, which bounds the pauses of running answers."""
 
 import random
 import statistics
@@ -12,14 +12,21 @@
 from ibishead.decisions.turns import PromptWindow, Turn, choose_turn
 
 GAP, OBJECTIVE = 0.3, 0.8
-# An engine: tokens of prompts in one step, seconds of a step without any, seconds of a
-# prompt token, steps for each event of a stream, steps of a stream.
+# An engine: prompt tokens per step, seconds of a step without prompts, seconds per
+# prompt token, steps per event of a stream, steps of a stream.
 CHUNK, STEP, TOKEN, STRIDE, LENGTH = 2048, 0.011, 1 / 20_400, 3, 170
 
 
 @dataclass(frozen=True)
 class Engine:
-    """How an engine reads and answers, in tokens, seconds and steps."""
+    """Parameters of a simulated engine.
+
+    :param chunk: prompt tokens per step.
+    :param step: seconds of a step without prompts.
+    :param token: seconds per prompt token.
+    :param stride: steps per event of a stream.
+    :param length: steps of a stream.
+    """
 
     chunk: int = CHUNK
     step: float = STEP
@@ -28,7 +35,7 @@
     length: int = LENGTH
 
 
-#: Reads short pieces, many for each event, so that no clump of prompts makes it pause.
+#: Reads short chunks, many per event, so that no burst of prompts makes it pause.
 STEADY = Engine(1024, 0.005, 1 / 38_100, 7, 290)
 
 
@@ -37,12 +44,12 @@
     [
         ([], None),
         ([Turn(1, 10, 8.0), Turn(2, 10, 7.0)], 2),
-        # what is late already waits for those that can be in time
+        # Requests that are already late wait for those that can be in time.
         ([Turn(1, 10, 4.9), Turn(2, 10, 7.0)], 2),
         ([Turn(1, 10, 4.9), Turn(2, 10, 4.0)], 2),
     ],
 )
-def test_who_is_next(turns, expected):
+def test_next_request(turns, expected):
     found = choose_turn(turns, 5.0)
     assert (found.number if found else None) == expected
 
@@ -52,7 +59,7 @@
         st.tuples(st.floats(0, 0.2), st.integers(1, 5000)), min_size=1, max_size=60
     )
 )
-def test_no_window_holds_more_than_its_limit_but_for_one_long_prompt(arrivals):
+def test_only_a_single_long_prompt_exceeds_window_limit(arrivals):
     window = PromptWindow(GAP)
     now, sent = 0.0, []
     for pause, tokens in arrivals:
@@ -65,7 +72,7 @@
         assert sum(inside) <= window.limit or len(inside) == 1
 
 
-def test_where_callers_accept_any_pause_nothing_waits():
+def test_no_wait_where_any_pause_is_accepted():
     window = PromptWindow()
     window.take(10**6, 1.0)
     assert window.wait(10**6, 1.0) == 0.0
@@ -76,7 +83,7 @@
     ("pauses", "direction"),
     [([0.35], -1), ([0.05], 1), ([0.2, 0.31], -1), ([2.0], 1)],
 )
-def test_the_limit_follows_the_pauses_that_callers_saw(pauses, direction):
+def test_limit_follows_pauses(pauses, direction):
     window = PromptWindow(GAP)
     before = window.limit
     for pause in pauses:
@@ -86,38 +93,41 @@
 
 @pytest.mark.parametrize("speed", [1.0, 1.3])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_answers_under_way_pause_less_and_prompts_still_begin_in_time(seed, speed):
-    """Streams stop for a third of a second, over and over, on an engine half idle."""
+def test_answers_pause_less_and_prompts_begin_in_time(seed, speed):
+    """Guards against streams that repeatedly pause for a third of a second.
+
+    The engine is half idle, and prompts arrive in bursts.
+    """
     rng = random.Random(seed)
     arrivals, at = [], 0.0
     while at < 90.0:
         at += rng.expovariate(3.0 / speed)
         for _ in range(rng.choice([1, 1, 2, 4])):
             arrivals.append((at, min(3800, int(rng.expovariate(1 / 1100)))))
-    plain, _ = play(arrivals, speed, limited=False)
-    paced, waits = play(arrivals, speed, limited=True)
-    assert plain > 0.2
-    assert paced < plain / 3
+    unlimited, _ = simulate(arrivals, speed, limited=False)
+    limited, waits = simulate(arrivals, speed, limited=True)
+    assert unlimited > 0.2
+    assert limited < unlimited / 3
     assert statistics.median(waits) < OBJECTIVE / 4
     assert statistics.quantiles(waits, n=10)[-1] < OBJECTIVE
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_engines_that_never_pause_are_given_more(seed):
-    """First events are late, as prompts wait for turns that engines could give."""
+def test_engines_without_pauses_are_sent_more(seed):
+    """Guards against late first events while engines could read more prompts."""
     rng = random.Random(seed)
     arrivals, at = [], 0.0
     while at < 60.0:
         at += rng.expovariate(3.0)
         for _ in range(rng.choice([1, 2, 4, 8])):
             arrivals.append((at, min(6000, int(rng.expovariate(1 / 1500)))))
-    paused, waits = play(arrivals, 1.0, limited=True, engine=STEADY, rate=38_100)
+    paused, waits = simulate(arrivals, 1.0, limited=True, engine=STEADY, rate=38_100)
     assert paused == 0.0
     early, late = waits[: len(waits) // 4], waits[len(waits) // 2 :]
     assert statistics.mean(late) < 0.5 * statistics.mean(early)
 
 
-def test_a_pause_takes_back_what_calm_answers_gave():
+def test_a_pause_resets_raised_limit():
     window = PromptWindow(GAP)
     before = window.limit
     for _ in range(200):
@@ -129,7 +139,7 @@
     assert window.limit <= before
 
 
-def test_calm_answers_give_nothing_where_nobody_waits():
+def test_limit_is_not_raised_while_no_prompt_waits():
     window = PromptWindow(GAP)
     before = window.limit
     for _ in range(200):
@@ -137,16 +147,16 @@
     assert window.limit < 1.1 * before
 
 
-def play(arrivals, speed, limited, engine=Engine(), rate=20_000.0):
-    """Return the share of streams that paused, and the waits for turns in seconds."""
+def simulate(arrivals, speed, limited, engine=Engine(), rate=20_000.0):
+    """Return the share of streams that paused, and the waits of prompts in seconds."""
     window = PromptWindow(GAP if limited else 0.0)
     window.speed.rate = rate
-    coming = deque(arrivals)
+    arriving = deque(arrivals)
     waiting, reading, streams, pauses, waits = [], deque(), [], [], []
     now = 0.0
-    while coming or waiting or reading or streams:
-        while coming and coming[0][0] <= now:
-            at, tokens = coming.popleft()
+    while arriving or waiting or reading or streams:
+        while arriving and arriving[0][0] <= now:
+            at, tokens = arriving.popleft()
             waiting.append(Turn(len(waits) + len(waiting), tokens, at + OBJECTIVE))
         while (turn := choose_turn(waiting, now)) is not None:
             if window.wait(turn.tokens, now) > 0:
@@ -155,22 +165,22 @@
             waiting.remove(turn)
             waits.append(now - (turn.due - OBJECTIVE))
             reading.append(turn.tokens)
-        piece = min(engine.chunk, sum(reading))
-        now += speed * (engine.step + piece * engine.token)
-        streams = [grow(stream, now, engine.stride) for stream in streams]
+        chunk = min(engine.chunk, sum(reading))
+        now += speed * (engine.step + chunk * engine.token)
+        streams = [advance(stream, now, engine.stride) for stream in streams]
         for stream in [s for s in streams if s[0] >= engine.length]:
             pauses.append(stream[2])
             window.note_pause(stream[2])
         streams = [s for s in streams if s[0] < engine.length]
-        while piece >= (reading[0] if reading else engine.chunk + 1):
-            piece -= reading.popleft()
+        while chunk >= (reading[0] if reading else engine.chunk + 1):
+            chunk -= reading.popleft()
             streams.append((0, now, 0.0))
-        if piece and reading:
-            reading[0] -= piece
+        if chunk and reading:
+            reading[0] -= chunk
     return sum(p > GAP for p in pauses) / len(pauses), waits
 
 
-def grow(stream, now, stride):
+def advance(stream, now, stride):
     """Return a stream one step later: its steps, its last event, its longest pause."""
     steps, last, pause = stream
     if (steps + 1) % stride:
