--- a/benchmarks/policy/clairvoyant.py
+++ b/benchmarks/policy/clairvoyant.py
@@ -4,7 +4,7 @@
 from benchmarks.policy.policies import Baseline
 from benchmarks.policy.workloads import Request
 from ibishead.decisions.admission import Refused
-from ibishead.decisions.eviction import HALF_LIFE, SlotView
+from ibishead.decisions.eviction import REUSE_HALF_LIFE_SECONDS, SlotView
 from ibishead.decisions.placement import PlacementQuery, TargetView, place
 from ibishead.decisions.views import EntryView
 from ibishead.errors import ErrorCode
@@ -68,7 +68,7 @@
         coldest = 0.0
         if victim is not None:
             ahead = max(1.0, self._next(engine, victim, now) - now)
-            coldest = HALF_LIFE / ahead
+            coldest = REUSE_HALF_LIFE_SECONDS / ahead
         return TargetView(
             engine.target,
             engine.failure_domain,
@@ -79,7 +79,7 @@
             loading=frozenset(engine.loading),
             seconds_per_request=report.seconds_per_request,
             seconds_per_load=report.seconds_per_load,
-            wishes=report.wishes,
+            pending_loads=report.wishes,
             free_slots=report.free_slots,
             coldest=coldest,
             stalled=report.stalled,
--- a/benchmarks/policy/model.py
+++ b/benchmarks/policy/model.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 
 from benchmarks.policy.workloads import Request
-from ibishead.decisions.eviction import ReuseCounter, SlotView, expect_reuse
-from ibishead.decisions.loading import LoadBackoff, LoadWish
-from ibishead.decisions.queueing import FairQueue, Waiting
+from ibishead.decisions.eviction import ReuseCounter, SlotView, estimate_reuse
+from ibishead.decisions.loading import LoadBackoff, PendingLoad
+from ibishead.decisions.queueing import FairQueue, QueuedRequest
 from ibishead.ids import FailureDomain, RequestId, TargetId
 from ibishead.messages import LoadReport
 
@@ -116,7 +116,7 @@
     finish: Callable[["Engine", Request], None]
     slots: dict[int, Slot] = field(default_factory=dict)
     loading: set[int] = field(default_factory=set)
-    waiting: dict[int, list[Waiting]] = field(default_factory=dict)
+    waiting: dict[int, list[QueuedRequest]] = field(default_factory=dict)
     requests: dict[str, Request] = field(default_factory=dict)
     running: dict[int, int] = field(default_factory=dict)
     size: int = 0
@@ -142,7 +142,7 @@
         now = self.calendar.now
         name = f"{request.number}"
         self.requests[name] = request
-        item = Waiting(
+        item = QueuedRequest(
             RequestId(name),
             request.attempt,
             request.team,
@@ -158,7 +158,7 @@
         if request.adapter not in self.slots:
             request.stalled_since = now
 
-    def dequeue(self, item: Waiting) -> Request:
+    def dequeue(self, item: QueuedRequest) -> Request:
         """Take a request out of the queue, its stall summed up."""
         items = self.waiting[item.adapter]
         items.remove(item)
@@ -169,11 +169,11 @@
         self._end_stall(request)
         return request
 
-    def ready(self) -> list[Waiting]:
+    def ready(self) -> list[QueuedRequest]:
         """Return what waits for its turn only."""
         return [item for key in self.slots for item in self.waiting.get(key, ())]
 
-    def all_waiting(self) -> list[Waiting]:
+    def all_waiting(self) -> list[QueuedRequest]:
         """Return everything that waits."""
         return [item for items in self.waiting.values() for item in items]
 
@@ -183,11 +183,11 @@
             len(items) for key, items in self.waiting.items() if key not in self.slots
         )
 
-    def wishes(self) -> list[LoadWish]:
+    def wishes(self) -> list[PendingLoad]:
         """Return the adapters that are waited for and not on their way."""
         now = self.calendar.now
         return [
-            LoadWish(
+            PendingLoad(
                 key,
                 len(items),
                 now - items[0].arrived,
@@ -241,7 +241,7 @@
                 now - item.arrived - self.seconds_per_load
             )
 
-    def start(self, item: Waiting) -> None:
+    def start(self, item: QueuedRequest) -> None:
         """Run a request of the queue."""
         now = self.calendar.now
         request = self.dequeue(item)
@@ -299,7 +299,7 @@
             free_slots=SLOTS - len(self.slots) - len(self.loading) + unpinned,
             coldest=0.0
             if empty or victim is None
-            else expect_reuse(victim, self.calendar.now),
+            else estimate_reuse(victim, self.calendar.now),
             stalled=self.stalled(),
         )
 
--- a/benchmarks/policy/policies.py
+++ b/benchmarks/policy/policies.py
@@ -11,7 +11,7 @@
 from ibishead.decisions.eviction import SlotView, choose_victim
 from ibishead.decisions.loading import urgency
 from ibishead.decisions.placement import Placed, PlacementQuery, TargetView, place
-from ibishead.decisions.queueing import Waiting, choose_next
+from ibishead.decisions.queueing import QueuedRequest, choose_next
 from ibishead.decisions.views import EntryView
 from ibishead.ids import TargetId
 
@@ -41,7 +41,7 @@
     ) -> TargetId | Refused | None:
         """Return a target, a refusal, or none when no target is up."""
 
-    def choose_next(self, engine: Engine, ready: list[Waiting], now: float):
+    def choose_next(self, engine: Engine, ready: list[QueuedRequest], now: float):
         """Return the request to run next."""
 
     def choose_victim(self, engine: Engine, now: float) -> SlotView | None:
@@ -81,7 +81,7 @@
         """Choose one target."""
         raise NotImplementedError
 
-    def choose_next(self, engine: Engine, ready: list[Waiting], now: float):
+    def choose_next(self, engine: Engine, ready: list[QueuedRequest], now: float):
         """Return the oldest."""
         return min(ready, key=lambda item: item.arrived, default=None)
 
@@ -224,7 +224,7 @@
             class_waiting=waiting * level // total,
             expected_wait=placed.expected_wait,
             needs_load=placed.needs_load,
-            wishes=sum(item.wishes for item in up),
+            pending_loads=sum(item.pending_loads for item in up),
         )
 
     def count(self, request: Request, change: int) -> None:
@@ -250,7 +250,7 @@
             targets = holders or targets
         return targets
 
-    def choose_next(self, engine: Engine, ready: list[Waiting], now: float):
+    def choose_next(self, engine: Engine, ready: list[QueuedRequest], now: float):
         """Ask the queueing decision."""
         used = engine.fair.read(now) if self.features.fairness else None
         weight = self.stall_weight if self.features.grouping else 1.0
@@ -275,7 +275,7 @@
 
 
 def _ready(view: TargetView) -> int:
-    return view.running + view.queued + view.recent - view.stalled
+    return view.running + view.queued + view.recent_dispatches - view.stalled
 
 
 def _load(view: TargetView) -> float:
--- a/benchmarks/policy/runs.py
+++ b/benchmarks/policy/runs.py
@@ -68,7 +68,9 @@
         placement, "_estimate_cost_to_others", lambda load, wishes: 0.0
     ),
     "silence doesn't age a count": _Alternative(eviction, "MISSED_USES", 1e9),
-    "counts halve in 240 s, not 60 s": _Alternative(eviction, "HALF_LIFE", 240.0),
+    "counts halve in 240 s, not 60 s": _Alternative(
+        eviction, "REUSE_HALF_LIFE_SECONDS", 240.0
+    ),
     "queue of 4 rounds, not 2": _Alternative(admission, "MAX_QUEUED_ROUNDS", 4.0),
     "no bound on the backlog of loads": _Alternative(
         admission, "MAX_LOAD_BACKLOG_SECONDS", 1e9
--- a/benchmarks/policy/simulation.py
+++ b/benchmarks/policy/simulation.py
@@ -19,7 +19,7 @@
 )
 from ibishead.decisions.admission import Refused
 from ibishead.decisions.loading import LoadPermits
-from ibishead.decisions.queueing import choose_late
+from ibishead.decisions.queueing import list_late
 from ibishead.decisions.retry import (
     AttemptEnd,
     RetryBudget,
@@ -183,7 +183,7 @@
     def _advance(self, engine: Engine) -> None:
         now = self.calendar.now
         if self.policy.drops_late and engine.queued:
-            late = choose_late(engine.all_waiting(), now, engine.seconds_per_request)
+            late = list_late(engine.all_waiting(), now, engine.seconds_per_request)
             for item in late:
                 request = engine.dequeue(item)
                 self._end(request, "expired", engine.seconds_per_request)
--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -127,8 +127,8 @@
     Guard(
         "what helps most callers is loaded first",
         "decisions/residents.py",
-        "key=lambda w: (w.helped, w.asked)",
-        "key=lambda w: (0, -w.asked)",
+        "key=lambda d: (d.served, d.due)",
+        "key=lambda d: (0, -d.due)",
         (
             "tests/decisions/test_residents.py"
             "::test_loads_that_serve_callers_in_time_go_first",
--- a/benchmarks/without.py
+++ b/benchmarks/without.py
@@ -20,28 +20,28 @@
     # prompts go to an engine without turns
     "turns": (("decisions.turns", "PromptWindow.wait", lambda *_: 0.0),),
     # every engine counts as one that reads as fast as the slowest
-    "read-rate": (("decisions.readspeed", "LEAST_SAMPLES", math.inf),),
+    "read-rate": (("decisions.readspeed", "MIN_SAMPLES", math.inf),),
     # three loads at once, and a quarter of a second for each
     "load-pace": (
-        ("decisions.loadpace", "FIRST_MOST", 3.0),
-        ("decisions.loadpace", "LoadPace.note", lambda *_: None),
+        ("decisions.loadpace", "INITIAL_CONCURRENT_LOADS", 3.0),
+        ("decisions.loadpace", "LoadPace.record", lambda *_: None),
     ),
     # adapters are loaded in the order in which they were asked for last
-    "load-order": (("steward.demands", "count_helped", lambda *_: 1.0),),
+    "load-order": (("steward.demands", "count_served", lambda *_: 1.0),),
     # a second copy of an adapter costs no more than a first one
     "copy-cost": (("decisions.choice", "COPY_DELAY", 0.0),),
     # adapters have no home
-    "hash-order": (("decisions.choice", "HASH_STEP", 0.0),),
+    "hash-order": (("decisions.choice", "HASH_RANK_DELAY", 0.0),),
     # copies that engines have at hand count as copies in the store
     "at-hand": (("decisions.choice", "RELOAD_DELAY", 0.28),),
     # loads that wait at an engine don't count
-    "load-queue": (("decisions.choice", "TURN_DELAY", 0.0),),
+    "load-queue": (("decisions.choice", "QUEUED_LOAD_DELAY", 0.0),),
     # targets that fail are chosen like others
     "failure-share": (("decisions.choice", "FAILURE_DELAY", 0.0),),
     # the adapter that was used last stays, however seldom it is used
     "reuse-count": (("decisions.eviction", "ReuseCounter.read", lambda *_: 0.0),),
     # who knows no route or target yet refuses at once
-    "learn-patience": (("decisions.holding", "HOLD_MOST", 0.0),),
+    "learn-patience": (("decisions.holding", "MAX_HOLD_SECONDS", 0.0),),
     # an engine is sent more requests than its batch has slots
     "batch-slots": (("decisions.batchslots", "BatchSlots.full", False),),
     # every receiver is sent whole route sets
--- a/src/ibishead/agent/loader.py
+++ b/src/ibishead/agent/loader.py
@@ -15,8 +15,8 @@
 from ibishead.agent.target import TargetClient
 from ibishead.clock import Clock
 from ibishead.decisions.eviction import ReuseCounter, SlotView, choose_victim
-from ibishead.decisions.eviction import expect_reuse as expect_slot_reuse
-from ibishead.decisions.loading import LoadBackoff, LoadWish, choose_load, urgency
+from ibishead.decisions.eviction import estimate_reuse as expect_slot_reuse
+from ibishead.decisions.loading import LoadBackoff, PendingLoad, choose_load, urgency
 from ibishead.errors import ErrorCode, IbisheadError, LinkLost
 from ibishead.ids import Incarnation
 
@@ -133,7 +133,7 @@
 
     def _list_wishes(
         self, queued: list[Attempt], now: float
-    ) -> dict[AdapterKey, LoadWish]:
+    ) -> dict[AdapterKey, PendingLoad]:
         waiters: dict[AdapterKey, list[Attempt]] = {}
         for attempt in queued:
             key = attempt.adapter
@@ -141,7 +141,7 @@
                 continue
             waiters.setdefault(key, []).append(attempt)
         return {
-            key: LoadWish(
+            key: PendingLoad(
                 digest=key.digest,
                 waiting=len(attempts),
                 oldest=now - min(a.arrived for a in attempts),
@@ -151,7 +151,7 @@
             for key, attempts in waiters.items()
         }
 
-    async def _load(self, key: AdapterKey, source: str, wish: LoadWish) -> None:
+    async def _load(self, key: AdapterKey, source: str, wish: PendingLoad) -> None:
         permit = None
         began = self._clock.monotonic() - wish.oldest
         try:
--- a/src/ibishead/agent/scheduler.py
+++ b/src/ibishead/agent/scheduler.py
@@ -18,8 +18,8 @@
 from ibishead.agent.target import TargetClient, TargetRestarted
 from ibishead.agent.watcher import TargetWatcher
 from ibishead.clock import Clock
-from ibishead.decisions.loading import FIRST_BACKOFF, LoadBackoff
-from ibishead.decisions.queueing import FairQueue, Waiting, choose_late, choose_next
+from ibishead.decisions.loading import INITIAL_BACKOFF_SECONDS, LoadBackoff
+from ibishead.decisions.queueing import FairQueue, QueuedRequest, choose_next, list_late
 from ibishead.errors import ErrorCode, IbisheadError
 from ibishead.ids import BootId, TargetId
 from ibishead.messages import LoadReport, Outcome
@@ -72,7 +72,7 @@
     is_engine: bool
     batch: int
     slots: int
-    failure_backoff: float = FIRST_BACKOFF
+    failure_backoff: float = INITIAL_BACKOFF_SECONDS
 
 
 class Registrar(LoadAuthority, Protocol):
@@ -223,7 +223,7 @@
         queued = {a.key: a for a in self.attempts.list_in(AttemptState.QUEUED)}
         lost = self._watcher.measure_absence() > UNHEALTHY_PATIENCE
         views = [self._view(attempt, now) for attempt in queued.values()]
-        late = choose_late(views, now, self._shortest_run())
+        late = list_late(views, now, self._shortest_run())
         names = {(item.request, item.attempt) for item in late}
         for key, attempt in queued.items():
             if (key.request, key.attempt) in names:
@@ -278,11 +278,11 @@
         attempt.task = asyncio.create_task(self._run(attempt, pin, now))
         self.changed.set()
 
-    def _view(self, attempt: Attempt, now: float) -> Waiting:
+    def _view(self, attempt: Attempt, now: float) -> QueuedRequest:
         ready = self._is_ready(attempt)
         if ready and attempt.ready_at is None:
             attempt.ready_at = now
-        return Waiting(
+        return QueuedRequest(
             request=attempt.dispatch.request,
             attempt=attempt.dispatch.attempt,
             team=attempt.dispatch.team,
--- a/src/ibishead/decisions/admission.py
+++ b/src/ibishead/decisions/admission.py
@@ -50,8 +50,9 @@
     :param class_waiting: queued requests of this class, or ``None`` when unknown.
     :param needs_load: the adapter is neither resident nor being loaded at the chosen
         target.
-    :param wishes: adapters that wait to be loaded, at all targets known to this host.
-    :param age: seconds since the oldest of these targets' latest reports arrived.
+    :param pending_loads: adapters that wait to be loaded, at all targets known to this
+        host.
+    :param report_age: seconds since the oldest of the targets' latest reports arrived.
     """
 
     priority: int
@@ -65,8 +66,8 @@
     expected_wait: float = 0.0
     class_waiting: int | None = None
     needs_load: bool = False
-    wishes: int = 0
-    age: float = 0.0
+    pending_loads: int = 0
+    report_age: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -107,11 +108,11 @@
         reason = f"queue wait of {wait:.1f} s exceeds deadline{_describe_load(query)}"
         return _reject(query, ErrorCode.DEADLINE_UNREACHABLE, reason, excess)
     # A load backlog at the store that exceeds the deadlines makes every load late.
-    backlog = query.wishes * STORE_SECONDS_PER_LOAD
+    backlog = query.pending_loads * STORE_SECONDS_PER_LOAD
     if query.needs_load and backlog >= MAX_LOAD_BACKLOG_SECONDS * _queue_share(
         query.priority
     ):
-        reason = f"too many adapters wait to be loaded: {query.wishes}"
+        reason = f"too many adapters wait to be loaded: {query.pending_loads}"
         return _reject(query, ErrorCode.OVERLOADED, reason, backlog)
     # Several rounds of short requests drain quickly, so the limit is the larger of a
     # number of rounds and a drain time.
@@ -146,7 +147,8 @@
 def _describe_load(query: AdmissionQuery) -> str:
     return (
         f" ({query.waiting} queued, {query.capacity} run concurrently for "
-        f"{query.seconds_per_request:.2f} s each, load reports {query.age:.1f} s old)"
+        f"{query.seconds_per_request:.2f} s each, "
+        f"load reports {query.report_age:.1f} s old)"
     )
 
 
--- a/src/ibishead/decisions/batchslots.py
+++ b/src/ibishead/decisions/batchslots.py
@@ -19,13 +19,13 @@
     """Tracks how many of an engine's batch slots are in use.
 
     :ivar slots: batch size, 0 for no limit.
-    :ivar counted: requests that were admitted, or sent without admission, and whose
+    :ivar active: requests that were admitted, or sent without admission, and whose
         gateways have not reported their end.
     """
 
     def __init__(self, slots: int = 0) -> None:
         self.slots = slots
-        self.counted = 0
+        self.active = 0
         self._reported_count: int | None = None
         #: Requests started since the last report, and between the two reports before
         #: it. The latter may still have been in transit when the report was made.
@@ -42,9 +42,9 @@
         occupy the slot forever. The engine's own report therefore bounds the count.
         """
         if self._reported_count is None:
-            return self.counted
+            return self.active
         upper_bound = self._reported_count + self._started_before + self._started
-        return min(self.counted, upper_bound)
+        return min(self.active, upper_bound)
 
     @property
     def full(self) -> bool:
@@ -53,7 +53,7 @@
 
     def begin(self) -> None:
         """Count a request that is being sent."""
-        self.counted += 1
+        self.active += 1
         self._started += 1
 
     def end(self, count: int, now: float) -> None:
@@ -65,10 +65,10 @@
         if self.full and self._ended_at is not None:
             interval = (now - self._ended_at) / max(1, count)
             self._interval += INTERVAL_WEIGHT * (interval - self._interval)
-        self.counted = max(0, self.counted - count)
+        self.active = max(0, self.active - count)
         self._ended_at = now
 
-    def note_report(self, requests: int) -> None:
+    def record_report(self, requests: int) -> None:
         """Record how many requests the engine reports, running or queued."""
         self._reported_count = requests
         self._started_before, self._started = self._started, 0
--- a/src/ibishead/decisions/choice.py
+++ b/src/ibishead/decisions/choice.py
@@ -9,12 +9,12 @@
 
 import xxhash
 
-from ibishead.decisions.readspeed import FIRST_RATE
+from ibishead.decisions.readspeed import INITIAL_RATE
 from ibishead.ids import FailureDomain, TargetId
 from ibishead.routing.targets import WeightKey
 
 __all__ = [
-    "AdapterPlace",
+    "AdapterState",
     "Candidate",
     "Chosen",
     "Need",
@@ -39,7 +39,7 @@
 #: applies to an adapter that other requests already wait for there. The share makes
 #: gateways that do not know of each other choose the engine that will load the adapter
 #: anyway.
-TURN_DELAY = 0.2
+QUEUED_LOAD_DELAY = 0.2
 REQUESTED_LOAD_SHARE = 0.5
 
 #: Time until an old version that is in use has been replaced. It is longer than a load,
@@ -53,7 +53,7 @@
 
 #: Penalty for each rank in the adapter's hash order, and its maximum. It makes gateways
 #: that do not know of each other's loads choose the same engine.
-HASH_STEP = 0.03
+HASH_RANK_DELAY = 0.03
 MAX_HASH_DELAY = 0.12
 
 #: Delay that each running request of a batch adds to another one, by slower steps and
@@ -78,29 +78,29 @@
 
 
 @dataclass(frozen=True)
-class AdapterPlace:
+class AdapterState:
     """State of an adapter on one engine.
 
     :param resident: loaded, at a version that the request may use.
-    :param coming: being loaded.
-    :param wished: requested there by others, and its load has not started.
+    :param loading: being loaded.
+    :param requested: requested there by others, and its load has not started.
     :param recent: held there before, at a version that the request may use.
     :param outdated: loaded at a version that the request may not use. Its replacement
         waits for the requests that use it.
-    :param room: slots that are empty or hold an unused adapter.
-    :param wishes: adapters that wait to be loaded there.
+    :param free_slots: slots that are empty or hold an unused adapter.
+    :param pending_loads: adapters that wait to be loaded there.
     :param serving: the engine has its model loaded.
     :param model_wait: seconds until the model is loaded, if it is not.
     :param manageable: the engine can be ordered to load the adapter.
     """
 
     resident: bool = False
-    coming: bool = False
-    wished: bool = False
+    loading: bool = False
+    requested: bool = False
     recent: bool = False
     outdated: bool = False
-    room: int = 1
-    wishes: int = 0
+    free_slots: int = 1
+    pending_loads: int = 0
     serving: bool = True
     model_wait: float = 0.0
     manageable: bool = True
@@ -111,9 +111,9 @@
             return "no model"
         if self.resident:
             return "resident"
-        if self.coming:
+        if self.loading:
             return "coming"
-        if self.wished:
+        if self.requested:
             return "wished"
         if self.recent:
             return "recent"
@@ -122,7 +122,7 @@
     @property
     def held(self) -> bool:
         """Whether the engine needs no further copy from the store."""
-        return self.resident or self.coming or self.wished or self.recent
+        return self.resident or self.loading or self.requested or self.recent
 
 
 @dataclass(frozen=True)
@@ -132,14 +132,15 @@
     :param busy: requests at the target, by its last report and by own requests since.
     :param slots: requests that it runs concurrently.
     :param prompt_backlog: prompt tokens sent to it that it may not have read yet.
-    :param pace: run time of a request at this target relative to the service's mean.
+    :param relative_run_time: run time of a request at this target relative to the
+        service's mean.
     :param failures: share of failures among its recent answers, weighted by recency.
     :param silent: the registries no longer hear from the target.
-    :param unreached: the target could not be reached recently.
+    :param unreachable: the target could not be reached recently.
     :param prompt_wait: seconds that a prompt waits there until it is sent.
     :param read_rate: prompt tokens per second that it reads.
-    :param share_wait: seconds until this gateway's share of the target's rate limit
-        admits a request.
+    :param rate_limit_wait: seconds until this gateway's share of the target's rate
+        limit admits a request.
     """
 
     target: TargetId
@@ -147,14 +148,14 @@
     busy: int
     slots: int
     prompt_backlog: int = 0
-    pace: float = 1.0
+    relative_run_time: float = 1.0
     failures: float = 0.0
     silent: bool = False
-    unreached: bool = False
+    unreachable: bool = False
     prompt_wait: float = 0.0
-    read_rate: float = FIRST_RATE
-    share_wait: float = 0.0
-    adapter: AdapterPlace = AdapterPlace(resident=True)
+    read_rate: float = INITIAL_RATE
+    rate_limit_wait: float = 0.0
+    adapter: AdapterState = AdapterState(resident=True)
 
 
 @dataclass(frozen=True)
@@ -202,7 +203,7 @@
     best: Chosen | None = None
     for candidate in usable:
         adapter = candidate.adapter
-        if not (adapter.resident or adapter.coming or adapter.manageable):
+        if not (adapter.resident or adapter.loading or adapter.manageable):
             continue
         delay = estimate_delay(need, candidate, ranks.get(candidate.target, 0))
         delay += BATCHED_REQUEST_DELAY * draw() + COPY_DELAY * (
@@ -220,17 +221,18 @@
     """
     fill = candidate.busy / max(1, candidate.slots)
     delay = candidate.prompt_wait + candidate.prompt_backlog / candidate.read_rate
-    delay += BATCHED_REQUEST_DELAY * fill * 10 + candidate.share_wait
+    delay += BATCHED_REQUEST_DELAY * fill * 10 + candidate.rate_limit_wait
     if need.weights is None:
         # An engine runs the requests of a batch concurrently, so none waits for another
         # run to end. Run time counts only where requests are not batched.
-        delay += candidate.pace * need.run_time * fill
+        delay += candidate.relative_run_time * need.run_time * fill
     waiting = candidate.busy + 1 - candidate.slots
     if waiting > 0:
         delay += max(QUEUED_REQUEST_DELAY, need.run_time / candidate.slots) * waiting
     delay += FAILURE_DELAY * candidate.failures
     delay += (
-        SILENT_TARGET_DELAY * candidate.silent + UNREACHABLE_DELAY * candidate.unreached
+        SILENT_TARGET_DELAY * candidate.silent
+        + UNREACHABLE_DELAY * candidate.unreachable
     )
     delay += OTHER_DOMAIN_DELAY * (candidate.domain != need.domain)
     return delay + _estimate_adapter_delay(candidate.adapter, rank)
@@ -245,32 +247,32 @@
     """
     adapter = candidate.adapter
     model_wait = adapter.model_wait * (not adapter.serving)
-    return candidate.prompt_wait + candidate.share_wait + model_wait
+    return candidate.prompt_wait + candidate.rate_limit_wait + model_wait
 
 
-def _estimate_adapter_delay(adapter: AdapterPlace, rank: int) -> float:
+def _estimate_adapter_delay(adapter: AdapterState, rank: int) -> float:
     if not adapter.serving:
         # An idle engine that waits for its model seems free to all gateways. The loads
         # that will follow the model count there as they do elsewhere.
         return adapter.model_wait + _estimate_load_delay(adapter, rank)
     if adapter.resident:
         return 0.0
-    if adapter.coming:
+    if adapter.loading:
         return LOADING_DELAY
     return _estimate_load_delay(adapter, rank)
 
 
-def _estimate_load_delay(adapter: AdapterPlace, rank: int) -> float:
-    queued_loads = TURN_DELAY * adapter.wishes
-    slots = SLOT_DELAY * max(0, adapter.wishes + 1 - adapter.room)
+def _estimate_load_delay(adapter: AdapterState, rank: int) -> float:
+    queued_loads = QUEUED_LOAD_DELAY * adapter.pending_loads
+    slots = SLOT_DELAY * max(0, adapter.pending_loads + 1 - adapter.free_slots)
     replacement = OUTDATED_DELAY * adapter.outdated
-    if adapter.wished:
+    if adapter.requested:
         fetch = RELOAD_DELAY if adapter.recent else LOAD_DELAY
         return (
             fetch
             + replacement
             + REQUESTED_LOAD_SHARE * queued_loads
-            + SLOT_DELAY * (not adapter.room)
+            + SLOT_DELAY * (not adapter.free_slots)
         )
     if adapter.recent:
         return RELOAD_DELAY + replacement + queued_loads + slots
@@ -279,7 +281,7 @@
         + replacement
         + queued_loads
         + slots
-        + min(MAX_HASH_DELAY, HASH_STEP * rank)
+        + min(MAX_HASH_DELAY, HASH_RANK_DELAY * rank)
     )
 
 
--- a/src/ibishead/decisions/eviction.py
+++ b/src/ibishead/decisions/eviction.py
@@ -3,12 +3,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-__all__ = ["ReuseCounter", "SlotView", "choose_victim", "expect_reuse"]
+__all__ = ["ReuseCounter", "SlotView", "choose_victim", "estimate_reuse"]
 
 #: Half-life of a use. Long enough to distinguish frequently used adapters from adapters
 #: used once by chance, and short enough that an adapter that was popular earlier is
 #: evicted within minutes.
-HALF_LIFE = 60.0
+REUSE_HALF_LIFE_SECONDS = 60.0
 #: Number of uses, at the adapter's own rate, that may be missing before its idle time
 #: reduces its expected reuse. A larger value keeps adapters that were popular before a
 #: change in demand for too long.
@@ -42,11 +42,12 @@
     Counts are kept after eviction, so that an adapter that is requested often but was
     evicted once is distinguished from one that is requested for the first time.
 
-    :param half_life: half-life of a use in seconds, `HALF_LIFE` by default.
+    :param half_life: half-life of a use in seconds, `REUSE_HALF_LIFE_SECONDS` by
+        default.
     """
 
     def __init__(self, half_life: float | None = None) -> None:
-        self._half_life = HALF_LIFE if half_life is None else half_life
+        self._half_life = REUSE_HALF_LIFE_SECONDS if half_life is None else half_life
         self._counts: dict[int, tuple[float, float]] = {}
 
     def observe_use(self, digest: int, now: float) -> None:
@@ -66,14 +67,14 @@
             del self._counts[digest]
 
 
-def expect_reuse(slot: SlotView, now: float) -> float:
+def estimate_reuse(slot: SlotView, now: float) -> float:
     """Return the expected reuse of a slot's adapter, given its idle time.
 
     The decayed count is capped by what the time since the last use still allows, so
     that an adapter that is no longer used does not keep its slot for many half-lives.
     """
     idle = max(now - slot.last_used, 1e-3)
-    return min(slot.reuse, MISSED_USES * HALF_LIFE / idle)
+    return min(slot.reuse, MISSED_USES * REUSE_HALF_LIFE_SECONDS / idle)
 
 
 def choose_victim(
@@ -94,6 +95,6 @@
     ]
     return min(
         evictable,
-        key=lambda slot: (slot.waiting, expect_reuse(slot, now), slot.last_used),
+        key=lambda slot: (slot.waiting, estimate_reuse(slot, now), slot.last_used),
         default=None,
     )
--- a/src/ibishead/decisions/health.py
+++ b/src/ibishead/decisions/health.py
@@ -13,7 +13,7 @@
 
 #: Half-life of the failure share. A target that receives no requests returns no answers
 #: that could show its recovery. Transient faults last some seconds.
-HALF_LIFE = 3.0
+FAILURE_HALF_LIFE_SECONDS = 3.0
 
 
 class FailureShare:
@@ -23,7 +23,7 @@
         self._share = 0.0
         self._updated_at = 0.0
 
-    def note(self, failed: bool, now: float) -> None:
+    def record(self, failed: bool, now: float) -> None:
         """Record whether an answer was a failure.
 
         :param now: monotonic seconds.
@@ -37,4 +37,6 @@
 
     def read(self, now: float) -> float:
         """Return the share, 0 to 1, decayed to the given time."""
-        return self._share * 0.5 ** ((now - self._updated_at) / HALF_LIFE)
+        return self._share * 0.5 ** (
+            (now - self._updated_at) / FAILURE_HALF_LIFE_SECONDS
+        )
--- a/src/ibishead/decisions/leaving.py
+++ b/src/ibishead/decisions/leaving.py
@@ -8,7 +8,7 @@
 from collections import deque
 from datetime import timedelta
 
-__all__ = ["ELSEWHERE_WAIT", "AnswerPace", "fits_grace"]
+__all__ = ["OTHER_HOST_RETRY_AFTER", "AnswerPace", "fits_grace"]
 
 #: Time until the first token of an answer, including everything before it.
 FIRST_TOKEN_SECONDS = 1.0
@@ -21,7 +21,7 @@
 MARGIN_SECONDS = 0.6
 
 #: Retry delay for rejected callers. It is short because other hosts serve them.
-ELSEWHERE_WAIT = timedelta(seconds=0.05)
+OTHER_HOST_RETRY_AFTER = timedelta(seconds=0.05)
 
 #: Estimated time per token until `MIN_ANSWERS` answers were measured.
 INITIAL_SECONDS_PER_TOKEN = 0.02
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self._seconds_per_token: deque[float] = deque(maxlen=MAX_ANSWERS)
 
-    def note(self, seconds: float, tokens: int) -> None:
+    def record(self, seconds: float, tokens: int) -> None:
         """Record a completed answer.
 
         :param seconds: duration of the answer.
@@ -50,7 +50,7 @@
         if tokens > 0:
             self._seconds_per_token.append(seconds / tokens)
 
-    def expect(self, tokens: int) -> float:
+    def estimate(self, tokens: int) -> float:
         """Return the estimated seconds for an answer of that many tokens."""
         measured = len(self._seconds_per_token) >= MIN_ANSWERS
         return tokens * (
--- a/src/ibishead/decisions/loading.py
+++ b/src/ibishead/decisions/loading.py
@@ -6,7 +6,7 @@
 __all__ = [
     "LoadBackoff",
     "LoadPermits",
-    "LoadWish",
+    "PendingLoad",
     "choose_load",
     "choose_loads",
     "urgency",
@@ -16,7 +16,7 @@
 LOADS_PER_SECOND = 4.0
 MAX_IN_FLIGHT = 8
 #: Delay after the first failed load. It doubles with each further failure.
-FIRST_BACKOFF = 0.25
+INITIAL_BACKOFF_SECONDS = 0.25
 MAX_BACKOFF_SECONDS = 8.0
 #: Consecutive failures after which the waiting requests move to another target. One
 #: failure may be transient and is cheapest to retry here; two indicate a fault of this
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class LoadWish:
+class PendingLoad:
     """An adapter that requests wait for and that is not resident.
 
     :param digest: adapter digest, see `placement.adapter_digest`.
@@ -42,31 +42,33 @@
     not_before: float = 0.0
 
 
-def urgency(wish: LoadWish) -> float:
+def urgency(load: PendingLoad) -> float:
     """Return the cost of delaying a load, by priority, age and number of requests.
 
     The cost grows with the number of waiting requests and with their age, so that loads
     that many requests need go first and no load starves.
     """
-    return (1 + wish.priority) * (wish.oldest + 0.1) * wish.waiting
+    return (1 + load.priority) * (load.oldest + 0.1) * load.waiting
 
 
-def choose_load(wishes: Sequence[LoadWish], now: float) -> LoadWish | None:
+def choose_load(loads: Sequence[PendingLoad], now: float) -> PendingLoad | None:
     """Return the most urgent load that may start, or ``None``.
 
     :param now: monotonic seconds.
     """
-    ready = [wish for wish in wishes if wish.not_before <= now]
+    ready = [load for load in loads if load.not_before <= now]
     return max(ready, key=urgency, default=None)
 
 
-def choose_loads(wishes: Sequence[LoadWish], now: float, limit: int) -> list[LoadWish]:
+def choose_loads(
+    loads: Sequence[PendingLoad], now: float, limit: int
+) -> list[PendingLoad]:
     """Return up to ``limit`` loads that may start, most urgent first.
 
     :param now: monotonic seconds.
     :param limit: number of slots that are empty or can be emptied.
     """
-    ready = [wish for wish in wishes if wish.not_before <= now]
+    ready = [load for load in loads if load.not_before <= now]
     return sorted(ready, key=urgency, reverse=True)[: max(limit, 0)]
 
 
@@ -79,7 +81,7 @@
         one.
     """
 
-    def __init__(self, first: float = FIRST_BACKOFF) -> None:
+    def __init__(self, first: float = INITIAL_BACKOFF_SECONDS) -> None:
         self._first = first
         self._failures: dict[int, int] = {}
         self._not_before: dict[int, float] = {}
--- a/src/ibishead/decisions/loadpace.py
+++ b/src/ibishead/decisions/loadpace.py
@@ -9,14 +9,14 @@
 import statistics
 from collections import deque
 
-__all__ = ["FIRST_TIME", "LoadPace"]
+__all__ = ["INITIAL_LOAD_SECONDS", "LoadPace"]
 
 #: Estimated load time in seconds before any load was measured.
-FIRST_TIME = 0.25
+INITIAL_LOAD_SECONDS = 0.25
 
 #: Concurrent loads per engine: initial value, minimum and maximum. An engine accepts at
 #: most four.
-FIRST_MOST = 2.0
+INITIAL_CONCURRENT_LOADS = 2.0
 MIN_CONCURRENT_LOADS = 1.0
 MAX_CONCURRENT_LOADS = 4.0
 
@@ -47,17 +47,17 @@
 
     def __init__(self) -> None:
         self._times: deque[float] = deque(maxlen=WINDOW)
-        self._median = FIRST_TIME
+        self._median = INITIAL_LOAD_SECONDS
         self._excess = 0.0
         self._recorded_at = 0.0
-        self._limit = FIRST_MOST
+        self._limit = INITIAL_CONCURRENT_LOADS
 
     @property
-    def most(self) -> int:
+    def limit(self) -> int:
         """Maximum number of concurrent loads."""
         return int(self._limit)
 
-    def note(self, seconds: float, now: float) -> None:
+    def record(self, seconds: float, now: float) -> None:
         """Record a completed load.
 
         :param seconds: time from the order to the report that shows the adapter.
--- a/src/ibishead/decisions/modelwait.py
+++ b/src/ibishead/decisions/modelwait.py
@@ -11,11 +11,17 @@
 from ibishead.ids import ModelName
 from ibishead.routing.routes import EngineSpec
 
-__all__ = ["LOST_WAIT", "Source", "expect_model", "expect_start", "find_source"]
+__all__ = [
+    "UNREACHABLE_WAIT_SECONDS",
+    "Source",
+    "estimate_model_wait",
+    "estimate_start_wait",
+    "find_source",
+]
 
 #: Assumed wait in seconds for an engine that its steward cannot reach. A restart takes
 #: some seconds, and it is unknown whether one is in progress.
-LOST_WAIT = 4.0
+UNREACHABLE_WAIT_SECONDS = 4.0
 
 #: Time from the start of an engine until its model load is ordered: the steward first
 #: reads a report and obtains a fencing number.
@@ -59,7 +65,7 @@
     return Source.STORE
 
 
-def expect_start(spec: EngineSpec | None) -> float:
+def estimate_start_wait(spec: EngineSpec | None) -> float:
     """Return the estimated seconds until an unknown engine has its model loaded.
 
     Most such engines were restarted and still have the model on disk. A new engine
@@ -68,7 +74,7 @@
     return START_SECONDS + _find_load_time(spec, Source.DISK)
 
 
-def expect_model(
+def estimate_model_wait(
     spec: EngineSpec | None, source: Source, since: float | None, now: float
 ) -> float:
     """Return the estimated seconds until an engine has its model loaded.
--- a/src/ibishead/decisions/patience.py
+++ b/src/ibishead/decisions/patience.py
@@ -5,7 +5,7 @@
 is therefore kept close to the time in which the engine usually answers.
 """
 
-__all__ = ["OrderPatience"]
+__all__ = ["OrderTimeout"]
 
 #: Initial and maximum timeout, and minimum timeout, in seconds. The engine runs on the
 #: same host and answers within milliseconds; an overloaded host takes several times as
@@ -19,7 +19,7 @@
 DECAY_FACTOR = 0.8
 
 
-class OrderPatience:
+class OrderTimeout:
     """Derives the timeout of the next order from the times of recent answers.
 
     :ivar seconds: current timeout.
@@ -29,7 +29,7 @@
         self.seconds = MAX_TIMEOUT_SECONDS
         self._slowest = 0.0
 
-    def note_answer(self, seconds: float) -> None:
+    def record_answer(self, seconds: float) -> None:
         """Record how long an answer took, in seconds."""
         self._slowest = max(seconds, DECAY_FACTOR * self._slowest)
         self.seconds = min(
@@ -37,6 +37,6 @@
             max(MIN_TIMEOUT_SECONDS, TIMEOUT_FACTOR * self._slowest),
         )
 
-    def note_silence(self) -> None:
+    def record_timeout(self) -> None:
         """Record a timeout; the next answer may need longer."""
         self.seconds = min(MAX_TIMEOUT_SECONDS, 2 * self.seconds)
--- a/src/ibishead/decisions/placement.py
+++ b/src/ibishead/decisions/placement.py
@@ -46,7 +46,7 @@
 
     :param running: requests in the target's batch, as last reported.
     :param queued: requests waiting at its agent, as last reported.
-    :param recent: own dispatches since that report.
+    :param recent_dispatches: own dispatches since that report.
     :param batch: requests that the target runs concurrently.
     :param slots: adapters that it holds at the same time.
     :param resident: digests of the adapters in its slots.
@@ -54,7 +54,7 @@
     :param seconds_per_request: measured mean run time.
     :param reachable: the link to its agent is up.
     :param seconds_per_load: measured mean time from request to resident adapter.
-    :param wishes: adapters that wait to be loaded.
+    :param pending_loads: adapters that wait to be loaded.
     :param free_slots: slots that are empty or may be emptied.
     :param coldest: decayed use count of the adapter that would be evicted next.
     :param stalled: queued requests that wait for their adapter.
@@ -64,7 +64,7 @@
     failure_domain: FailureDomain
     running: int = 0
     queued: int = 0
-    recent: int = 0
+    recent_dispatches: int = 0
     batch: int = 8
     slots: int = 4
     resident: frozenset[int] = field(default_factory=frozenset)
@@ -73,7 +73,7 @@
     reachable: bool = True
     draining: bool = False
     seconds_per_load: float = 0.25
-    wishes: int = 0
+    pending_loads: int = 0
     free_slots: int = 1
     coldest: float = 0.0
     stalled: int = 0
@@ -191,15 +191,15 @@
 @dataclass(slots=True)
 class _Fleet:
     fastest: float
-    wishes: int
+    pending_loads: int
     cost_to_others: float
 
 
 def _measure_fleet(usable: list[TargetView]) -> _Fleet:
     fastest = min([view.seconds_per_request for view in usable])
-    wishes = sum([view.wishes for view in usable])
+    pending_loads = sum([view.pending_loads for view in usable])
     load = sum([view.seconds_per_load for view in usable]) / len(usable)
-    return _Fleet(fastest, wishes, _estimate_cost_to_others(load, wishes))
+    return _Fleet(fastest, pending_loads, _estimate_cost_to_others(load, pending_loads))
 
 
 def _choose_new_holders(
@@ -230,9 +230,11 @@
 ) -> float:
     # A replica pays off only if the holder's queue costs more than the load itself, the
     # delay that it adds to other loads and the value of the adapter that it evicts.
-    slots_full = view.free_slots <= view.wishes
+    slots_full = view.free_slots <= view.pending_loads
     delay = view.seconds_per_request / 2 if slots_full else 0.0
-    wait = max(view.seconds_per_load, STORE_SECONDS_PER_LOAD * (1 + fleet.wishes))
+    wait = max(
+        view.seconds_per_load, STORE_SECONDS_PER_LOAD * (1 + fleet.pending_loads)
+    )
     reload_probability = min(1.0, RELOAD_PROBABILITY_PER_USE * view.coldest)
     cost_to_others = (
         (wait + fleet.cost_to_others) * (1.0 + reload_probability) / beneficiaries
@@ -242,12 +244,12 @@
     return delay + weight * (wait + cost_to_others) + run_cost
 
 
-def _estimate_cost_to_others(seconds_per_load: float, wishes: int) -> float:
+def _estimate_cost_to_others(seconds_per_load: float, pending_loads: int) -> float:
     # One more load delays all loads that arrive before the store is next idle: few when
     # utilization is low, many near saturation. For random arrivals, loads of equal
     # length S and a mean wait w, the total delay is w * (1 + 2 * w / S).
     queue = max(0.0, seconds_per_load - STORE_SECONDS_PER_LOAD)
-    queue = max(queue, STORE_SECONDS_PER_LOAD * wishes)
+    queue = max(queue, STORE_SECONDS_PER_LOAD * pending_loads)
     return STORE_SECONDS_PER_LOAD / 2 + queue * (
         1.0 + 2.0 * queue / STORE_SECONDS_PER_LOAD
     )
@@ -286,4 +288,4 @@
 def _count_active(view: TargetView) -> int:
     # Requests that wait for their adapter do not occupy the batch. If they counted as
     # load, they would cause replicas whose loads delay the very adapters they need.
-    return view.running + view.queued + view.recent - view.stalled
+    return view.running + view.queued + view.recent_dispatches - view.stalled
--- a/src/ibishead/decisions/queueing.py
+++ b/src/ibishead/decisions/queueing.py
@@ -5,7 +5,7 @@
 
 from ibishead.ids import RequestId, TeamId
 
-__all__ = ["FairQueue", "Waiting", "choose_late", "choose_next"]
+__all__ = ["FairQueue", "QueuedRequest", "choose_next", "list_late"]
 
 #: Waiting time that raises a request by one priority.
 SECONDS_PER_PRIORITY = 4.0
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class Waiting:
+class QueuedRequest:
     """One request in an agent's queue.
 
     :param adapter: adapter digest, 0 for a plain service.
@@ -41,13 +41,13 @@
 
 
 def choose_next(
-    waiting: Sequence[Waiting],
+    waiting: Sequence[QueuedRequest],
     running: dict[int, int],
     now: float,
     *,
     used: Mapping[TeamId, float] | None = None,
     stall_weight: float = 0.5,
-) -> Waiting | None:
+) -> QueuedRequest | None:
     """Return the request to run next, or ``None`` if none is ready.
 
     Requests are ordered by priority, which rises with waiting time so that none
@@ -64,7 +64,7 @@
     used = used or {}
     max_grouping = MAX_GROUPING_SECONDS * (1.0 - stall_weight)
 
-    def rank(item: Waiting) -> tuple[float, float, bool, float]:
+    def rank(item: QueuedRequest) -> tuple[float, float, bool, float]:
         waited = now - item.arrived
         level = int(item.priority + waited / SECONDS_PER_PRIORITY)
         usage = used.get(item.team, 0.0) / max(item.share, 0.01)
@@ -74,9 +74,9 @@
     return min(ready, key=rank, default=None)
 
 
-def choose_late(
-    waiting: Sequence[Waiting], now: float, seconds_per_request: float
-) -> list[Waiting]:
+def list_late(
+    waiting: Sequence[QueuedRequest], now: float, seconds_per_request: float
+) -> list[QueuedRequest]:
     """Return the requests that can no longer finish before their deadline.
 
     They should be answered with `NotRun` and a retry delay immediately, not held until
--- a/src/ibishead/decisions/readspeed.py
+++ b/src/ibishead/decisions/readspeed.py
@@ -9,11 +9,11 @@
 from collections import deque
 from itertools import combinations
 
-__all__ = ["FIRST_RATE", "ReadSpeed"]
+__all__ = ["INITIAL_RATE", "ReadSpeed"]
 
 #: Initial estimate in prompt tokens per second. An estimate above an engine's speed
 #: makes its answers pause.
-FIRST_RATE = 20_000.0
+INITIAL_RATE = 20_000.0
 
 #: Upper bound of estimates in tokens per second. At this rate a typical prompt is read
 #: in less than a millisecond, which is hidden by other delays.
@@ -22,7 +22,7 @@
 #: Minimum and maximum number of answers for an estimate. When an engine slows down, a
 #: larger sample would keep the old estimate for longer than the few seconds in which
 #: its answers already pause.
-LEAST_SAMPLES = 8
+MIN_SAMPLES = 8
 MAX_SAMPLES = 32
 
 #: Minimum difference in length of two prompts to be compared. With a smaller one,
@@ -46,12 +46,12 @@
     :ivar rate: estimated prompt tokens per second.
     """
 
-    def __init__(self, rate: float = FIRST_RATE) -> None:
+    def __init__(self, rate: float = INITIAL_RATE) -> None:
         self.rate = rate
         self._samples: deque[tuple[int, float]] = deque(maxlen=MAX_SAMPLES)
         self._count = 0
 
-    def note(self, tokens: int, seconds: float) -> None:
+    def record(self, tokens: int, seconds: float) -> None:
         """Record an answer whose prompt was the only one that the engine was reading.
 
         :param tokens: prompt tokens.
@@ -59,7 +59,7 @@
         """
         self._samples.append((tokens, seconds))
         self._count += 1
-        if self._count >= LEAST_SAMPLES and self._count % ESTIMATE_INTERVAL == 0:
+        if self._count >= MIN_SAMPLES and self._count % ESTIMATE_INTERVAL == 0:
             self._update_rate()
 
     def _update_rate(self) -> None:
--- a/src/ibishead/decisions/residents.py
+++ b/src/ibishead/decisions/residents.py
@@ -18,13 +18,13 @@
 from ibishead.routing.targets import Holding, WeightKey, list_adapters
 
 __all__ = [
+    "AdapterDemand",
     "EngineWeights",
     "Idle",
     "Load",
     "Unload",
-    "Wish",
     "choose_order",
-    "count_helped",
+    "count_served",
     "digest",
 ]
 
@@ -44,34 +44,34 @@
 
 
 @dataclass(frozen=True)
-class Wish:
+class AdapterDemand:
     """An adapter that requests wait for.
 
-    :param helped: number of callers that a load ordered now would serve; those that it
+    :param served: number of callers that a load ordered now would serve; those that it
         can only serve late count partially.
-    :param asked: latest monotonic time at which one of them should be answered.
+    :param due: latest monotonic time at which one of them should be answered.
     """
 
     key: WeightKey
     version: int
-    helped: float = 1.0
-    asked: float = 0.0
+    served: float = 1.0
+    due: float = 0.0
 
 
 @dataclass(frozen=True)
 class EngineWeights:
     """What an engine holds and loads, as far as is known.
 
-    :param coming: adapters being loaded, including orders with unknown outcome.
-    :param leaving: adapters whose unloading waits for their runs to end.
+    :param loading: adapters being loaded, including orders with unknown outcome.
+    :param unloading: adapters whose unloading waits for their runs to end.
     :param used: time of the last use of each adapter, monotonic seconds.
     :param pinned: adapters that requests use now. An engine that is ordered to unload
         one waits for its runs and accepts no other order in the meantime.
     """
 
     holdings: tuple[Holding, ...] = ()
-    coming: frozenset[WeightKey] = frozenset()
-    leaving: frozenset[WeightKey] = frozenset()
+    loading: frozenset[WeightKey] = frozenset()
+    unloading: frozenset[WeightKey] = frozenset()
     used: Mapping[WeightKey, float] = field(default_factory=dict)
     pinned: frozenset[WeightKey] = frozenset()
 
@@ -116,7 +116,7 @@
     return xxhash.xxh32_intdigest(f"{key.model}/{key.adapter}".encode()) or 1
 
 
-def count_helped(waiters: Iterable[tuple[float, float]], ready: float) -> float:
+def count_served(waiters: Iterable[tuple[float, float]], ready: float) -> float:
     """Return how many callers a load serves; those served late count partially.
 
     :param waiters: for each caller, the monotonic times at which the adapter should be
@@ -132,40 +132,43 @@
 def choose_order(
     spec: EngineSpec,
     weights: EngineWeights,
-    wishes: Sequence[Wish],
+    demands: Sequence[AdapterDemand],
     floors: Mapping[WeightKey, AdapterFloor],
-    floor_heard: Mapping[WeightKey, float],
+    floor_received_at: Mapping[WeightKey, float],
     reuse: ReuseCounter,
     now: float,
-    place: float,
+    spread_position: float,
     pace: LoadPace,
 ) -> Order:
     """Return the next order for one engine.
 
     :param floors: minimum version of each adapter for new requests.
-    :param floor_heard: monotonic time at which each of them was received.
+    :param floor_received_at: monotonic time at which each of them was received.
     :param now: monotonic seconds.
-    :param place: position of this engine, in [0, 1), in the spread of replacements.
+    :param spread_position: position of this engine, in [0, 1), in the spread of
+        replacements.
     :param pace: limit on concurrent loads.
     """
     if (missing := _find_missing_model(spec, weights)) is not None:
         return Load(missing)
-    if len(weights.coming) >= pace.most:
+    if len(weights.loading) >= pace.limit:
         return Idle("limit of concurrent loads reached")
     held = weights.adapters()
-    demand = _choose_demand(weights, held, wishes)
+    demand = _choose_demand(weights, held, demands)
     if demand is None:
-        return _replace_outdated(weights, held, floors, floor_heard, now, place)
+        return _replace_outdated(
+            weights, held, floors, floor_received_at, now, spread_position
+        )
     if demand.key in held:
         return Load(demand.key, demand.version)
-    if len(held.keys() | weights.coming) < spec.adapter_slots:
+    if len(held.keys() | weights.loading) < spec.adapter_slots:
         return Load(demand.key, demand.version)
-    return _free_slot(weights, held, wishes, reuse, now)
+    return _free_slot(weights, held, demands, reuse, now)
 
 
 def _find_missing_model(spec: EngineSpec, weights: EngineWeights) -> WeightKey | None:
     # A restarted engine holds nothing, and without a model it serves no request.
-    if weights.holdings or any(not key.adapter for key in weights.coming):
+    if weights.holdings or any(not key.adapter for key in weights.loading):
         return None
     fitting = spec.list_fitting()
     return WeightKey(fitting[0].name) if fitting else None
@@ -174,16 +177,16 @@
 def _choose_demand(
     weights: EngineWeights,
     held: Mapping[WeightKey, int],
-    wishes: Sequence[Wish],
-) -> Wish | None:
+    demands: Sequence[AdapterDemand],
+) -> AdapterDemand | None:
     models = {holding.model for holding in weights.holdings}
     open_demands = [
         demand
-        for demand in wishes
+        for demand in demands
         if demand.key.adapter
         and demand.key.model in models
-        and demand.key not in weights.coming
-        and demand.key not in weights.leaving
+        and demand.key not in weights.loading
+        and demand.key not in weights.unloading
         and held.get(demand.key, -1) < max(demand.version, 1)
         # The engine waits for the adapter's runs before it replaces it, and accepts no
         # other order in the meantime.
@@ -192,18 +195,18 @@
     # When more adapters are requested than the store delivers in time, serving them in
     # order of arrival makes every one late. Adapters that serve the most callers go
     # first, and among these the one requested last, which has the most time left.
-    return max(open_demands, key=lambda w: (w.helped, w.asked), default=None)
+    return max(open_demands, key=lambda d: (d.served, d.due), default=None)
 
 
 def _free_slot(
     weights: EngineWeights,
     held: Mapping[WeightKey, int],
-    wishes: Sequence[Wish],
+    demands: Sequence[AdapterDemand],
     reuse: ReuseCounter,
     now: float,
 ) -> Order:
-    requested = {demand.key for demand in wishes}
-    keys = {digest(key): key for key in held if key not in weights.leaving}
+    requested = {demand.key for demand in demands}
+    keys = {digest(key): key for key in held if key not in weights.unloading}
     slots = [
         SlotView(
             key_digest,
@@ -227,17 +230,17 @@
     weights: EngineWeights,
     held: Mapping[WeightKey, int],
     floors: Mapping[WeightKey, AdapterFloor],
-    floor_heard: Mapping[WeightKey, float],
+    floor_received_at: Mapping[WeightKey, float],
     now: float,
-    place: float,
+    spread_position: float,
 ) -> Order:
-    wait = REPLACE_DELAY_SECONDS + REPLACE_SPREAD_SECONDS * place
+    wait = REPLACE_DELAY_SECONDS + REPLACE_SPREAD_SECONDS * spread_position
     for key, version in held.items():
         floor = floors.get(key)
         if floor is None or version >= floor.version:
             continue
-        if key in weights.coming or key in weights.leaving or key in weights.pinned:
+        if key in weights.loading or key in weights.unloading or key in weights.pinned:
             continue
-        if now - floor_heard.get(key, now) >= wait:
+        if now - floor_received_at.get(key, now) >= wait:
             return Load(key, floor.version)
     return Idle("no adapter is requested")
--- a/src/ibishead/decisions/retry.py
+++ b/src/ibishead/decisions/retry.py
@@ -28,7 +28,8 @@
     :param attempt: number of attempts that reached a target, including this one.
     :param remaining: seconds until the request's deadline.
     :param delivered: part of the answer was sent to the caller.
-    :param unseen: the target never received the attempt, so another one adds no load.
+    :param not_received: the target never received the attempt, so another one adds no
+        load.
     :param lost: number of attempts that no target received, including this one.
     """
 
@@ -37,7 +38,7 @@
     idempotent: bool
     remaining: float
     delivered: bool = False
-    unseen: bool = False
+    not_received: bool = False
     lost: int = 0
 
 
@@ -115,6 +116,6 @@
     if exhausted or end.remaining <= 0:
         return GiveUp("no attempts or no time left", retry_after)
     # An attempt that no target received adds no load beyond that of the first attempt.
-    if not end.unseen and not budget.take():
+    if not end.not_received and not budget.take():
         return GiveUp("retry budget is exhausted", retry_after)
     return RetryElsewhere(end.outcome.value)
--- a/src/ibishead/decisions/turns.py
+++ b/src/ibishead/decisions/turns.py
@@ -99,7 +99,7 @@
         self._sent.append((now, tokens))
         self._sent_tokens += tokens
 
-    def note_pause(self, pause: float) -> None:
+    def record_pause(self, pause: float) -> None:
         """Record the longest pause of an answer, in seconds."""
         if self.gap < pause <= MAX_PAUSE_FACTOR * self.gap:
             reduced = min(self._share, MAX_SHARE) * SHARE_FACTOR
--- a/src/ibishead/entry/dispatching.py
+++ b/src/ibishead/entry/dispatching.py
@@ -317,7 +317,7 @@
             request_class.idempotent,
             job.deadline - self._clock.monotonic(),
             job.relay.delivered,
-            unseen=unseen,
+            not_received=unseen,
             lost=job.unseen,
         )
         retry_after = ended.retry_after or DEFAULT_RETRY_AFTER
--- a/src/ibishead/entry/placing.py
+++ b/src/ibishead/entry/placing.py
@@ -174,8 +174,8 @@
             draw=self._chance.random(),
             expected_wait=placed.expected_wait if placed else 0.0,
             needs_load=placed.needs_load if placed else False,
-            wishes=sum(item.wishes for item in up),
-            age=self._find_age(up),
+            pending_loads=sum(item.pending_loads for item in up),
+            report_age=self._find_age(up),
         )
 
     def _find_age(self, up: list[TargetView]) -> float:
@@ -214,7 +214,7 @@
 def _count_waiting(view: TargetView) -> int:
     # What waits for its adapter doesn't wait for its turn, and a turn comes at once
     # while the batch has room
-    ready = view.running + view.queued + view.recent - view.stalled
+    ready = view.running + view.queued + view.recent_dispatches - view.stalled
     return max(ready - view.batch, 0)
 
 
--- a/src/ibishead/gateway/book.py
+++ b/src/ibishead/gateway/book.py
@@ -5,10 +5,10 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field, replace
 
-from ibishead.decisions.choice import AdapterPlace, Candidate
+from ibishead.decisions.choice import AdapterState, Candidate
 from ibishead.decisions.health import FailureShare
-from ibishead.decisions.modelwait import expect_start
-from ibishead.decisions.readspeed import FIRST_RATE
+from ibishead.decisions.modelwait import estimate_start_wait
+from ibishead.decisions.readspeed import INITIAL_RATE
 from ibishead.decisions.sendrate import SendRate
 from ibishead.gateway.calls import TargetLoadTold
 from ibishead.gateway.stewards import HEARD_TIME
@@ -174,7 +174,7 @@
 
     def note_outcome(self, notes: TargetNotes, failed: bool, now: float) -> None:
         """Count an answer as good or as a failure."""
-        notes.failures.note(failed, now)
+        notes.failures.record(failed, now)
 
     def take_failures(self, told: FailuresTold, now: float) -> None:
         """Take in how often an engine fails, by the answers to all gateways."""
@@ -237,12 +237,12 @@
             min(4.0, max(0.25, pace)),
             max(notes.failures.read(now), notes.told_failures.read(now)),
             silent=now - heard > SILENT_AFTER,
-            unreached=now < notes.unreached_until
+            unreachable=now < notes.unreached_until
             or (mute and not self.is_alive(notes, now)),
             prompt_wait=max(0.0, notes.prompt_wait - (now - notes.prompt_wait_at)),
-            read_rate=read_rate or FIRST_RATE,
+            read_rate=read_rate or INITIAL_RATE,
             # a steward that is linked keeps the limit, and its delays tell of it
-            share_wait=0.0
+            rate_limit_wait=0.0
             if weights is not None and manageable
             else notes.share.wait(now),
             adapter=place,
@@ -270,9 +270,9 @@
         weights: WeightKey | None,
         least_version: int,
         manageable: bool,
-    ) -> AdapterPlace:
+    ) -> AdapterState:
         if weights is None:
-            return AdapterPlace(resident=True)
+            return AdapterState(resident=True)
         report = notes.report
         holdings = report.holdings if report is not None else target.holdings
         version, serving = None, False
@@ -290,14 +290,14 @@
             wished.update(report.wished)
             wished.difference_update(key for key, _ in report.coming)
         coming = report is not None and any(key == weights for key, _ in report.coming)
-        return AdapterPlace(
+        return AdapterState(
             resident=resident and weights not in notes.lacking,
-            coming=coming and manageable,
+            loading=coming and manageable,
             recent=notes.held.get(weights, -1) >= least_version,
             outdated=version is not None and not resident,
-            room=report.free_slots if report is not None else 1,
-            wished=weights in wished,
-            wishes=len(wished),
+            free_slots=report.free_slots if report is not None else 1,
+            requested=weights in wished,
+            pending_loads=len(wished),
             serving=serving,
             manageable=manageable,
         )
@@ -306,7 +306,7 @@
 def _expect_model(notes: TargetNotes, spec: EngineSpec | None, now: float) -> float:
     report = notes.report
     if report is None or not report.model_wait:
-        return expect_start(spec)
+        return estimate_start_wait(spec)
     # one that is late by its steward's word may come at any moment
     return max(LEAST_MODEL_WAIT, report.model_wait - (now - notes.report_at))
 
--- a/src/ibishead/gateway/choosing.py
+++ b/src/ibishead/gateway/choosing.py
@@ -11,7 +11,7 @@
 
 from ibishead.clock import Clock
 from ibishead.decisions.choice import Chosen, Need, choose_target
-from ibishead.decisions.holding import find_hold
+from ibishead.decisions.holding import compute_hold
 from ibishead.errors import IbisheadError, OutcomeUnknown, Refused
 from ibishead.gateway.accounts import RequestState
 from ibishead.gateway.book import TargetBook
@@ -93,7 +93,7 @@
 
     async def _await_targets(self, request: RequestState) -> None:
         view, now = self._feed.view, self._clock.monotonic()
-        hold = find_hold(request.call.patience)
+        hold = compute_hold(request.call.patience)
         last = min(now + hold, self._began + LEARN_TIME)
         while now < last and not view.list_service(request.service):
             await asyncio.sleep(LEARN_INTERVAL)
--- a/src/ibishead/gateway/pipeline.py
+++ b/src/ibishead/gateway/pipeline.py
@@ -11,8 +11,8 @@
 from datetime import timedelta
 
 from ibishead.clock import Clock
-from ibishead.decisions.holding import expect_routes, find_hold
-from ibishead.decisions.leaving import ELSEWHERE_WAIT, AnswerPace, fits_grace
+from ibishead.decisions.holding import compute_hold, estimate_route_wait
+from ibishead.decisions.leaving import OTHER_HOST_RETRY_AFTER, AnswerPace, fits_grace
 from ibishead.decisions.retry import BudgetShare, RetryBudget
 from ibishead.errors import (
     ErrorCode,
@@ -137,20 +137,20 @@
         spec, progress = self._chooser.find_spec(request), request.progress
         if spec is not None and progress.events >= LEAST_EVENTS:
             took = self._clock.monotonic() - progress.first
-            self._pace.note(took, progress.events * spec.event_tokens)
+            self._pace.record(took, progress.events * spec.event_tokens)
 
     async def _await_routes(self, call: Call) -> None:
         if self._feed.routes is None:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(find_hold(call.patience)):
+                async with asyncio.timeout(compute_hold(call.patience)):
                     await self._feed.routes_known.wait()
 
     def _expect_routes(self) -> timedelta:
-        wait = expect_routes(self._clock.monotonic() - self._began)
+        wait = estimate_route_wait(self._clock.monotonic() - self._began)
         return timedelta(seconds=wait * (0.5 + self._draw()))
 
     def _resolve(self, call: Call, exchange: Exchange, started: float) -> RequestState:
-        expected = self._pace.expect(call.answer_tokens)
+        expected = self._pace.estimate(call.answer_tokens)
         if self._ends_at is not None and not fits_grace(
             expected, self._ends_at - started
         ):
@@ -158,7 +158,7 @@
                 "not run: this host is about to stop",
                 "send it again over a new connection",
                 code=ErrorCode.DRAINING,
-                retry_after=ELSEWHERE_WAIT,
+                retry_after=OTHER_HOST_RETRY_AFTER,
             )
         routes = self._feed.routes
         if routes is None:
--- a/src/ibishead/steward/demands.py
+++ b/src/ibishead/steward/demands.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ibishead.decisions.residents import Wish, count_helped
+from ibishead.decisions.residents import AdapterDemand, count_served
 from ibishead.routing.targets import WeightKey
 from ibishead.steward.ledger import OrderLedger
 from ibishead.steward.turns import Waiter
@@ -16,11 +16,11 @@
     version: int
     waiters: list[Waiter] = field(default_factory=list)
 
-    def wish(self, key: WeightKey, ready: float, read_rate: float) -> Wish:
+    def wish(self, key: WeightKey, ready: float, read_rate: float) -> AdapterDemand:
         # the prompt has to be read before the answer begins
         waiters = [(w.due - w.tokens / read_rate, w.until) for w in self.waiters]
         asked = max(due for due, _ in waiters)
-        return Wish(key, self.version, count_helped(waiters, ready), asked)
+        return AdapterDemand(key, self.version, count_served(waiters, ready), asked)
 
 
 class AdapterDemands:
@@ -44,7 +44,7 @@
         demand.version = max(demand.version, version)
         demand.waiters.append(waiter)
 
-    def list_wishes(self, ready: float, read_rate: float) -> list[Wish]:
+    def list_wishes(self, ready: float, read_rate: float) -> list[AdapterDemand]:
         """Return what is waited for.
 
         :param ready: monotonic seconds at which a load ends that is ordered now.
--- a/src/ibishead/steward/ledger.py
+++ b/src/ibishead/steward/ledger.py
@@ -151,7 +151,7 @@
             if (shown or now - since > SHOW_TIME) and not under_way:
                 del self._ordered[key]
                 if shown and key.adapter:
-                    self.pace.note(now - since, now)
+                    self.pace.record(now - since, now)
         self._leaving = {k: since for k, since in self._leaving.items() if k in held}
         self._unknown = {
             key: since
--- a/src/ibishead/steward/steward.py
+++ b/src/ibishead/steward/steward.py
@@ -9,13 +9,17 @@
 
 from ibishead.clock import Clock
 from ibishead.decisions.health import FailureShare
-from ibishead.decisions.modelwait import LOST_WAIT, expect_model, find_source
-from ibishead.decisions.patience import OrderPatience
+from ibishead.decisions.modelwait import (
+    UNREACHABLE_WAIT_SECONDS,
+    estimate_model_wait,
+    find_source,
+)
+from ibishead.decisions.patience import OrderTimeout
 from ibishead.decisions.residents import (
+    AdapterDemand,
     Idle,
     Load,
     Unload,
-    Wish,
     choose_order,
 )
 from ibishead.errors import LinkLost
@@ -110,7 +114,7 @@
         self._told_failures = FailureShare()
         self._ledger = OrderLedger()
         self._namer = EngineNamer(domain, service, address, engine, feed, clock)
-        self._patience = OrderPatience()
+        self._patience = OrderTimeout()
         self._lost = False
         self._fence = 0
         self._fence_asked = 0.0
@@ -193,7 +197,7 @@
                 if failed is not None:
                     self._note_outcome(failed, now)
                 if pause:
-                    self._turns.window.note_pause(pause)
+                    self._turns.window.record_pause(pause)
                 self._turns.note_end(link)
                 if self._uses.end(link, key, now) and self._demands:
                     self._wake.set()
@@ -231,7 +235,7 @@
             self._tell_gateways(PromptDelay(target.target, round(seconds, 3)))
 
     def _note_outcome(self, failed: bool, now: float) -> None:
-        self._failures.note(failed, now)
+        self._failures.record(failed, now)
         share = self._failures.read(now)
         target = self._feed.view.find_address(self._address)
         if target is None or abs(share - self._told_failures.read(now)) < FAILURE_STEP:
@@ -328,7 +332,10 @@
         self._turns.refuse_all()
         if self._reported is not None and self._reported.holdings:
             lost = msgspec.structs.replace(
-                self._reported, holdings=(), coming=(), model_wait=LOST_WAIT
+                self._reported,
+                holdings=(),
+                coming=(),
+                model_wait=UNREACHABLE_WAIT_SECONDS,
             )
             self._tell(lost)
 
@@ -347,9 +354,9 @@
             return False
         end = await self._engine.order(order, self._patience.seconds)
         if end is OrderEnd.UNKNOWN:
-            self._patience.note_silence()
+            self._patience.record_timeout()
         else:
-            self._patience.note_answer(self._clock.monotonic() - now)
+            self._patience.record_answer(self._clock.monotonic() - now)
         self._note_end(order, end)
         return end in (OrderEnd.STARTED, OrderEnd.HOLDS)
 
@@ -385,7 +392,7 @@
             case Unload(key):
                 return self._make_order(False, key, 0, target)
 
-    def _list_wishes(self, now: float) -> list[Wish]:
+    def _list_wishes(self, now: float) -> list[AdapterDemand]:
         ready = now + self._ledger.pace.read(now)
         rate = self._turns.window.speed.rate
         return self._demands.list_wishes(ready, rate)
@@ -459,7 +466,9 @@
         if holdings or state is None:
             return 0.0
         source = find_source(self._find_spec(), state.in_memory, state.on_disk)
-        wait = expect_model(self._find_spec(), source, self._ledger.model_since, now)
+        wait = estimate_model_wait(
+            self._find_spec(), source, self._ledger.model_since, now
+        )
         return round(wait, 2)
 
     def _report(self, now: float) -> None:
--- a/src/ibishead/steward/turns.py
+++ b/src/ibishead/steward/turns.py
@@ -126,7 +126,7 @@
             return
         self._unread[link] -= 1
         if seconds and self._alone and not self._unread.total():
-            self.window.speed.note(tokens, seconds)
+            self.window.speed.record(tokens, seconds)
             self._log_rate()
 
     def note_end(self, link: Link) -> None:
@@ -140,7 +140,7 @@
 
     def note_report(self, requests: int) -> None:
         """Take in how many requests the engine has."""
-        self.slots.note_report(requests)
+        self.slots.record_report(requests)
         self._wake_waiting()
 
     def set_limit(self, rate: float | None) -> None:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -47,8 +47,8 @@
             ErrorCode.OVERLOADED,
         ),
         # A long load backlog rejects only requests that need a load.
-        ({"wishes": 40, "needs_load": True}, ErrorCode.OVERLOADED),
-        ({"wishes": 40, "needs_load": False}, None),
+        ({"pending_loads": 40, "needs_load": True}, ErrorCode.OVERLOADED),
+        ({"pending_loads": 40, "needs_load": False}, None),
     ],
 )
 def test_admit(fields, code):
@@ -69,7 +69,7 @@
     expected_wait=st.floats(0.0, 1000.0),
     class_waiting=st.none() | st.integers(0, 10_000),
     needs_load=st.booleans(),
-    wishes=st.integers(0, 1000),
+    pending_loads=st.integers(0, 1000),
 )
 
 
--- a/tests/decisions/test_agent_decisions.py
+++ b/tests/decisions/test_agent_decisions.py
@@ -8,11 +8,11 @@
 from ibishead.decisions.loading import (
     LoadBackoff,
     LoadPermits,
-    LoadWish,
+    PendingLoad,
     choose_load,
     choose_loads,
 )
-from ibishead.decisions.queueing import FairQueue, Waiting, choose_late, choose_next
+from ibishead.decisions.queueing import FairQueue, QueuedRequest, choose_next, list_late
 from ibishead.ids import RequestId, TeamId
 
 
@@ -74,22 +74,22 @@
 
 
 @pytest.mark.parametrize(
-    ("wishes", "chosen"),
+    ("loads", "chosen"),
     [
         ((), None),
-        ((LoadWish(1, 1, 1.0, 5), LoadWish(2, 4, 1.0, 5)), 2),
-        ((LoadWish(1, 1, 1.0, 9), LoadWish(2, 1, 1.0, 0)), 1),
+        ((PendingLoad(1, 1, 1.0, 5), PendingLoad(2, 4, 1.0, 5)), 2),
+        ((PendingLoad(1, 1, 1.0, 9), PendingLoad(2, 1, 1.0, 0)), 1),
         # Age outweighs priority and number of requests.
-        ((LoadWish(1, 1, 60.0, 0), LoadWish(2, 2, 1.0, 9)), 1),
+        ((PendingLoad(1, 1, 60.0, 0), PendingLoad(2, 2, 1.0, 9)), 1),
         # A failed load is not retried before its delay has passed.
-        ((LoadWish(1, 9, 9.0, 9, not_before=101.0), LoadWish(2, 1, 0.0, 0)), 2),
-        ((LoadWish(1, 9, 9.0, 9, not_before=101.0),), None),
+        ((PendingLoad(1, 9, 9.0, 9, not_before=101.0), PendingLoad(2, 1, 0.0, 0)), 2),
+        ((PendingLoad(1, 9, 9.0, 9, not_before=101.0),), None),
     ],
 )
-def test_choose_load(wishes, chosen):
-    found = choose_load(wishes, 100.0)
+def test_choose_load(loads, chosen):
+    found = choose_load(loads, 100.0)
     assert (found.digest if found else None) == chosen
-    assert [wish.digest for wish in choose_loads(wishes, 100.0, 1)] == (
+    assert [load.digest for load in choose_loads(loads, 100.0, 1)] == (
         [chosen] if chosen else []
     )
 
@@ -121,7 +121,7 @@
         assert taken <= 8 + 4.0 * now + 1e-6
 
 
-def item(name: str, **fields) -> Waiting:
+def item(name: str, **fields) -> QueuedRequest:
     values = {
         "attempt": 1,
         "team": TeamId("a"),
@@ -131,7 +131,7 @@
         "deadline": 200.0,
         "ready": True,
     }
-    return Waiting(RequestId(name), **(values | fields))
+    return QueuedRequest(RequestId(name), **(values | fields))
 
 
 @pytest.mark.parametrize(
@@ -179,7 +179,7 @@
 
 
 def test_late_requests_are_found_before_their_deadline():
-    late = choose_late([item("a", deadline=101.0), item("b")], 100.0, 2.0)
+    late = list_late([item("a", deadline=101.0), item("b")], 100.0, 2.0)
     assert [entry.request for entry in late] == ["a"]
 
 
--- a/tests/decisions/test_batchslots.py
+++ b/tests/decisions/test_batchslots.py
@@ -25,16 +25,16 @@
 
 
 @pytest.mark.parametrize(
-    ("counted", "reported", "begun", "used"),
+    ("active", "reported", "begun", "used"),
     [(3, 3, 0, 3), (3, 1, 0, 1), (3, 1, 1, 2), (1, 4, 0, 1)],
 )
-def test_report_bounds_slots_in_use(counted, reported, begun, used):
+def test_report_bounds_slots_in_use(active, reported, begun, used):
     batch = BatchSlots(12)
-    for _ in range(counted - begun):
+    for _ in range(active - begun):
         batch.begin()
-    batch.note_report(reported)
-    assert batch.used == counted - begun
-    batch.note_report(reported)
+    batch.record_report(reported)
+    assert batch.used == active - begun
+    batch.record_report(reported)
     for _ in range(begun):
         batch.begin()
     assert batch.used == used
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ibishead.decisions.choice import AdapterPlace, Candidate, Need, choose_target
+from ibishead.decisions.choice import AdapterState, Candidate, Need, choose_target
 from ibishead.ids import FailureDomain, ModelName, TargetId
 from ibishead.routing.targets import WeightKey
 
@@ -29,13 +29,13 @@
     ("candidates", "expected"),
     [
         ((make("a", 5), make("b", 1)), "b"),
-        ((make("a", 0, unreached=True), make("b", 9)), "b"),
+        ((make("a", 0, unreachable=True), make("b", 9)), "b"),
         ((make("a", 0, failures=1.0), make("b", 7)), "b"),
-        ((make("a", 0, pace=4.0), make("b", 0, domain=THERE)), "a"),
-        ((make("a", 6, pace=4.0), make("b", 6)), "b"),
+        ((make("a", 0, relative_run_time=4.0), make("b", 0, domain=THERE)), "a"),
+        ((make("a", 6, relative_run_time=4.0), make("b", 6)), "b"),
         ((make("a", 0, prompt_backlog=20_000), make("b", 4)), "b"),
         ((make("a", 0, domain=THERE), make("b", 0)), "b"),
-        ((make("a", 0, share_wait=1.0), make("b", 9)), "b"),
+        ((make("a", 0, rate_limit_wait=1.0), make("b", 9)), "b"),
         ((), None),
     ],
 )
@@ -46,19 +46,28 @@
 @pytest.mark.parametrize(
     ("places", "expected"),
     [
-        ({"a": AdapterPlace(resident=True), "b": AdapterPlace()}, "a"),
-        ({"a": AdapterPlace(), "b": AdapterPlace(coming=True)}, "b"),
-        ({"a": AdapterPlace(room=0, wishes=3), "b": AdapterPlace(room=2)}, "b"),
-        ({"a": AdapterPlace(manageable=False), "b": AdapterPlace(wishes=5)}, "b"),
-        ({"a": AdapterPlace(manageable=False)}, None),
+        ({"a": AdapterState(resident=True), "b": AdapterState()}, "a"),
+        ({"a": AdapterState(), "b": AdapterState(loading=True)}, "b"),
         (
             {
-                "a": AdapterPlace(serving=False, model_wait=4.0),
-                "b": AdapterPlace(wishes=5),
+                "a": AdapterState(free_slots=0, pending_loads=3),
+                "b": AdapterState(free_slots=2),
             },
             "b",
         ),
-        ({"a": AdapterPlace(serving=False)}, "a"),
+        (
+            {"a": AdapterState(manageable=False), "b": AdapterState(pending_loads=5)},
+            "b",
+        ),
+        ({"a": AdapterState(manageable=False)}, None),
+        (
+            {
+                "a": AdapterState(serving=False, model_wait=4.0),
+                "b": AdapterState(pending_loads=5),
+            },
+            "b",
+        ),
+        ({"a": AdapterState(serving=False)}, "a"),
     ],
 )
 def test_adapter_state_and_slots_count_besides_load(places, expected):
@@ -68,7 +77,7 @@
 
 def test_gateways_choose_same_engine_without_communication():
     """Guards against loading an adapter on two engines where one would suffice."""
-    candidates = [make(f"e{n}", adapter=AdapterPlace()) for n in range(9)]
+    candidates = [make(f"e{n}", adapter=AdapterState()) for n in range(9)]
     for number in range(50):
         need = Need(HERE, WeightKey(ModelName("m"), f"a{number}"), run_time=1.4)
         draws = [random.Random(seed).random for seed in (1, 2)]
@@ -96,12 +105,30 @@
 @pytest.mark.parametrize(
     ("places", "expected"),
     [
-        ({"a": AdapterPlace(), "b": AdapterPlace(recent=True)}, "b"),
-        ({"a": AdapterPlace(), "b": AdapterPlace(recent=True, room=2, wishes=1)}, "b"),
-        ({"a": AdapterPlace(), "b": AdapterPlace(recent=True, room=0, wishes=1)}, "a"),
-        ({"a": AdapterPlace(resident=True), "b": AdapterPlace(recent=True)}, "a"),
-        ({"a": AdapterPlace(wished=True, wishes=3), "b": AdapterPlace(wishes=1)}, "a"),
-        ({"a": AdapterPlace(wished=True), "b": AdapterPlace(coming=True)}, "b"),
+        ({"a": AdapterState(), "b": AdapterState(recent=True)}, "b"),
+        (
+            {
+                "a": AdapterState(),
+                "b": AdapterState(recent=True, free_slots=2, pending_loads=1),
+            },
+            "b",
+        ),
+        (
+            {
+                "a": AdapterState(),
+                "b": AdapterState(recent=True, free_slots=0, pending_loads=1),
+            },
+            "a",
+        ),
+        ({"a": AdapterState(resident=True), "b": AdapterState(recent=True)}, "a"),
+        (
+            {
+                "a": AdapterState(requested=True, pending_loads=3),
+                "b": AdapterState(pending_loads=1),
+            },
+            "a",
+        ),
+        ({"a": AdapterState(requested=True), "b": AdapterState(loading=True)}, "b"),
     ],
 )
 def test_engine_that_held_adapter_before_is_preferred(places, expected):
@@ -112,8 +139,8 @@
 @pytest.mark.parametrize(("waits", "expected"), [(0.3, "a"), (0.6, "b")])
 def test_another_copy_is_loaded_only_for_a_long_wait(waits, expected):
     """Guards against every engine fetching every adapter, which overloads the store."""
-    holder = make("a", prompt_wait=waits, adapter=AdapterPlace(resident=True))
-    other = make("b", adapter=AdapterPlace())
+    holder = make("a", prompt_wait=waits, adapter=AdapterState(resident=True))
+    other = make("b", adapter=AdapterState())
     assert choose(holder, other, need=Need(HERE, KEY)) == expected
 
 
@@ -137,7 +164,7 @@
                 round(busy[name]),
                 slots=48,
                 prompt_wait=max(0.0, 0.1 * busy[name] - 0.15),
-                adapter=AdapterPlace(
+                adapter=AdapterState(
                     resident=adapter in slots[name], recent=adapter in held[name]
                 ),
             )
@@ -173,9 +200,9 @@
                 HERE,
                 busy=0 if name == names[0] else 12,
                 slots=32,
-                adapter=AdapterPlace(
-                    room=9,
-                    wishes=sum(start > now for start, _ in loads[name]),
+                adapter=AdapterState(
+                    free_slots=9,
+                    pending_loads=sum(start > now for start, _ in loads[name]),
                     serving=name != names[0] or now >= 0.6,
                     model_wait=max(0.1, 0.6 - now),
                 ),
@@ -219,8 +246,8 @@
         busy,
         slots=32,
         prompt_backlog=backlog,
-        adapter=AdapterPlace(resident=True),
+        adapter=AdapterState(resident=True),
     )
-    idle = make("idle", 0, slots=32, adapter=AdapterPlace())
+    idle = make("idle", 0, slots=32, adapter=AdapterState())
     need = Need(HERE, KEY, run_time=1.4)
     assert choose(holder, idle, need=need) == expected
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ibishead.decisions.choice import Candidate, Need, choose_target
-from ibishead.decisions.health import HALF_LIFE, FailureShare
+from ibishead.decisions.health import FAILURE_HALF_LIFE_SECONDS, FailureShare
 from ibishead.ids import FailureDomain, TargetId
 
 HOME = FailureDomain("a")
@@ -15,11 +15,11 @@
 def test_share_rises_with_failures_and_decays():
     share = FailureShare()
     for _ in range(3):
-        share.note(True, 1.0)
+        share.record(True, 1.0)
     before = share.read(1.0)
     assert before > 0.4
-    assert share.read(1.0 + HALF_LIFE) == pytest.approx(before / 2)
-    share.note(False, 1.0)
+    assert share.read(1.0 + FAILURE_HALF_LIFE_SECONDS) == pytest.approx(before / 2)
+    share.record(False, 1.0)
     assert share.read(1.0) < before
 
 
@@ -53,7 +53,7 @@
         assert chosen is not None
         number = int(chosen.candidate.target)
         fails = number < FAULTY and rng.random() < 0.5
-        shares[number].note(fails, now)
+        shares[number].record(fails, now)
         failed, count = failed + fails, count + 1
     return failed / count
 
--- a/tests/decisions/test_holding.py
+++ b/tests/decisions/test_holding.py
@@ -5,12 +5,12 @@
 import pytest
 
 from ibishead.decisions.holding import (
-    HOLD_LEAST,
-    HOLD_MOST,
+    MAX_HOLD_SECONDS,
     MAX_RETRY_AFTER_SECONDS,
+    MIN_HOLD_SECONDS,
     MIN_RETRY_AFTER_SECONDS,
-    expect_routes,
-    find_hold,
+    compute_hold,
+    estimate_route_wait,
 )
 
 #: Deadline of callers, and the time after which they abandon a stream without events.
@@ -33,14 +33,15 @@
     draw = random.Random(1)
 
     def choose_retry_delay(now):
-        return expect_routes(now) * (0.5 + draw.random())
+        return estimate_route_wait(now) * (0.5 + draw.random())
 
     arrivals = [draw.uniform(0.0, outage) for _ in range(500)]
     held = [
-        is_served(a, outage, find_hold(DEADLINE), choose_retry_delay) for a in arrivals
+        is_served(a, outage, compute_hold(DEADLINE), choose_retry_delay)
+        for a in arrivals
     ]
     short = [
-        is_served(a, outage, HOLD_LEAST, lambda _: MIN_RETRY_AFTER_SECONDS)
+        is_served(a, outage, MIN_HOLD_SECONDS, lambda _: MIN_RETRY_AFTER_SECONDS)
         for a in arrivals
     ]
     assert held.count(False) < 0.1 * len(held)
@@ -48,14 +49,15 @@
 
 
 def test_hold_ends_before_callers_leave():
-    assert find_hold(1000.0) < ABANDON_AFTER
+    assert compute_hold(1000.0) < ABANDON_AFTER
 
 
 @pytest.mark.parametrize(
-    ("patience", "hold"), [(None, HOLD_LEAST), (1.5, HOLD_LEAST), (60.0, HOLD_MOST)]
+    ("remaining", "hold"),
+    [(None, MIN_HOLD_SECONDS), (1.5, MIN_HOLD_SECONDS), (60.0, MAX_HOLD_SECONDS)],
 )
-def test_hold_follows_remaining_time_of_caller(patience, hold):
-    assert find_hold(patience) == hold
+def test_hold_follows_remaining_time_of_caller(remaining, hold):
+    assert compute_hold(remaining) == hold
 
 
 @pytest.mark.parametrize(
@@ -63,4 +65,4 @@
     [(0.1, MIN_RETRY_AFTER_SECONDS), (2.0, 2.0), (99.0, MAX_RETRY_AFTER_SECONDS)],
 )
 def test_retry_delay_follows_outage(waited, wait):
-    assert expect_routes(waited) == wait
+    assert estimate_route_wait(waited) == wait
--- a/tests/decisions/test_leaving.py
+++ b/tests/decisions/test_leaving.py
@@ -20,17 +20,17 @@
     """
     pace = AnswerPace()
     for number in range(200):
-        pace.note(7.0 if number % 10 == 0 else 2.3, 500)
-    assert not fits_grace(pace.expect(500), 5.65)
+        pace.record(7.0 if number % 10 == 0 else 2.3, 500)
+    assert not fits_grace(pace.estimate(500), 5.65)
 
 
 def test_late_long_answer_is_not_accepted():
     """Guards against an answer that is cut off in the middle during a host update."""
     pace = AnswerPace()
     for _ in range(200):
-        pace.note(9.1, 483)
-    assert not fits_grace(pace.expect(483), 6.5)
-    assert fits_grace(pace.expect(120), 6.5)
+        pace.record(9.1, 483)
+    assert not fits_grace(pace.estimate(483), 6.5)
+    assert fits_grace(pace.estimate(120), 6.5)
 
 
 @pytest.mark.parametrize(
@@ -43,5 +43,5 @@
     """Guards against rejecting requests that would end before a planned stop."""
     pace = AnswerPace()
     for _ in range(answers):
-        pace.note(seconds_per_token * 300, 300)
-    assert fits_grace(pace.expect(400), 6.0) is accepted
+        pace.record(seconds_per_token * 300, 300)
+    assert fits_grace(pace.estimate(400), 6.0) is accepted
--- a/tests/decisions/test_loadpace.py
+++ b/tests/decisions/test_loadpace.py
@@ -7,14 +7,14 @@
 import pytest
 
 from ibishead.decisions.eviction import ReuseCounter
-from ibishead.decisions.loadpace import FIRST_TIME, LoadPace
+from ibishead.decisions.loadpace import INITIAL_LOAD_SECONDS, LoadPace
 from ibishead.decisions.residents import (
+    AdapterDemand,
     EngineWeights,
     Load,
     Order,
-    Wish,
     choose_order,
-    count_helped,
+    count_served,
 )
 from ibishead.ids import ModelName
 from ibishead.routing.routes import EngineSpec, ModelSpec
@@ -56,17 +56,17 @@
 def test_concurrent_loads_follow_store_speed(times, most):
     pace = LoadPace()
     for number, seconds in enumerate(times):
-        pace.note(seconds, number * 0.3)
-    assert pace.most == most
+        pace.record(seconds, number * 0.3)
+    assert pace.limit == most
 
 
 def test_current_load_time_is_estimated_and_decays():
     pace = LoadPace()
-    assert pace.read(0.0) == FIRST_TIME
+    assert pace.read(0.0) == INITIAL_LOAD_SECONDS
     for number in range(8):
-        pace.note(0.25, number * 0.1)
+        pace.record(0.25, number * 0.1)
     for number in range(4):
-        pace.note(0.5, 1.0 + number * 0.1)
+        pace.record(0.5, 1.0 + number * 0.1)
     assert 0.45 < pace.read(1.3) < 0.5
     assert pace.read(9.0) == pytest.approx(0.25, abs=0.01)
 
@@ -75,11 +75,11 @@
     """A fixed limit of three loads and a fixed load time of 0.25 s."""
 
     @property
-    def most(self) -> int:
+    def limit(self) -> int:
         return 3
 
     def read(self, now: float) -> float:
-        return FIRST_TIME
+        return INITIAL_LOAD_SECONDS
 
 
 @dataclass
@@ -103,17 +103,17 @@
             (Holding(MODEL, 1, refs),),
             frozenset(WeightKey(MODEL, name) for name in self.loading),
         )
-        wishes = [
-            Wish(
+        demands = [
+            AdapterDemand(
                 WeightKey(MODEL, name),
                 1,
-                count_helped([(at + OBJECTIVE, at + TIMEOUT) for at in asked], ready),
+                count_served([(at + OBJECTIVE, at + TIMEOUT) for at in asked], ready),
                 max(asked),
             )
             for name, asked in self.waiting.items()
         ]
         return choose_order(
-            SPEC, weights, wishes, {}, {}, ReuseCounter(), now, 0.0, self.pace
+            SPEC, weights, demands, {}, {}, ReuseCounter(), now, 0.0, self.pace
         )
 
     def advance(self, now: float, work: float) -> int:
@@ -127,7 +127,7 @@
             self.held[name] = None
             while len(self.held) > SPEC.adapter_slots - 4:
                 del self.held[next(iter(self.held))]
-            self.pace.note(now - since, now)
+            self.pace.record(now - since, now)
             timely += sum(now - at <= OBJECTIVE for at in self.waiting.pop(name, []))
         for name, asked in list(self.waiting.items()):
             self.waiting[name] = [at for at in asked if now - at < TIMEOUT]
--- a/tests/decisions/test_modelwait.py
+++ b/tests/decisions/test_modelwait.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from ibishead.decisions.choice import AdapterPlace, Candidate, Need, choose_target
+from ibishead.decisions.choice import AdapterState, Candidate, Need, choose_target
 from ibishead.decisions.modelwait import (
-    LOST_WAIT,
+    UNREACHABLE_WAIT_SECONDS,
     Source,
-    expect_model,
+    estimate_model_wait,
     find_source,
 )
 from ibishead.ids import FailureDomain, ModelName, TargetId
@@ -40,7 +40,7 @@
     ],
 )
 def test_wait_follows_description_and_order(spec, source, since, now, least, most):
-    assert least <= expect_model(spec, source, since, now) <= most
+    assert least <= estimate_model_wait(spec, source, since, now) <= most
 
 
 @pytest.mark.parametrize(
@@ -60,9 +60,9 @@
     """Guards against requests that wait at a new engine and are then rejected."""
     spec = make_spec(5.4, 2.2)
     for spent in (0.1, 2.3, 5.0, 9.0):
-        wait = expect_model(spec, Source.STORE, 10.0, 10.0 + spent)
-        new = AdapterPlace(serving=False, model_wait=wait)
-        busy = AdapterPlace()
+        wait = estimate_model_wait(spec, Source.STORE, 10.0, 10.0 + spent)
+        new = AdapterState(serving=False, model_wait=wait)
+        busy = AdapterState()
         candidates = [
             Candidate(TargetId("new"), HOME, 0, 48, adapter=new),
             Candidate(TargetId("busy"), HOME, 40, 48, adapter=busy),
@@ -76,14 +76,17 @@
 def test_engine_that_is_ready_first_is_chosen_after_power_failure():
     """Guards against rejecting requests that an engine could accept after 0.5 s."""
     spec = make_spec(0.6, 0.5)
-    waits = {"loads": expect_model(spec, Source.DISK, 1.0, 1.2), "lost": LOST_WAIT}
+    waits = {
+        "loads": estimate_model_wait(spec, Source.DISK, 1.0, 1.2),
+        "lost": UNREACHABLE_WAIT_SECONDS,
+    }
     candidates = [
         Candidate(
             TargetId(name),
             HOME,
             0,
             8,
-            adapter=AdapterPlace(serving=False, model_wait=wait),
+            adapter=AdapterState(serving=False, model_wait=wait),
         )
         for name, wait in waits.items()
     ]
--- a/tests/decisions/test_patience.py
+++ b/tests/decisions/test_patience.py
@@ -7,7 +7,7 @@
 from ibishead.decisions.patience import (
     MAX_TIMEOUT_SECONDS,
     MIN_TIMEOUT_SECONDS,
-    OrderPatience,
+    OrderTimeout,
 )
 
 
@@ -25,10 +25,10 @@
     ],
 )
 def test_timeout_follows_answer_times(answers, least, most):
-    patience = OrderPatience()
+    timeout = OrderTimeout()
     for seconds in answers:
-        patience.note_answer(seconds)
-    assert least <= patience.seconds <= most
+        timeout.record_answer(seconds)
+    assert least <= timeout.seconds <= most
 
 
 def test_timeout_grows_until_an_answer_arrives():
@@ -36,16 +36,16 @@
 
     Every answer would then arrive after its timeout.
     """
-    patience = OrderPatience()
-    patience.note_answer(0.001)
+    timeout = OrderTimeout()
+    timeout.record_answer(0.001)
     waits = []
     for _ in range(4):
-        waits.append(patience.seconds)
-        patience.note_silence()
+        waits.append(timeout.seconds)
+        timeout.record_timeout()
     assert waits == sorted(waits)
-    assert patience.seconds == MAX_TIMEOUT_SECONDS
-    patience.note_answer(0.001)
-    assert patience.seconds == MIN_TIMEOUT_SECONDS
+    assert timeout.seconds == MAX_TIMEOUT_SECONDS
+    timeout.record_answer(0.001)
+    assert timeout.seconds == MIN_TIMEOUT_SECONDS
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -54,11 +54,11 @@
 
     Callers then wait one second for adapters that load in 0.25 s.
     """
-    rng, patience, timeouts = random.Random(seed), OrderPatience(), []
+    rng, timeout, timeouts = random.Random(seed), OrderTimeout(), []
     for _ in range(200):
         if rng.random() < 1 / 3:
-            timeouts.append(patience.seconds)
-            patience.note_silence()
+            timeouts.append(timeout.seconds)
+            timeout.record_timeout()
         else:
-            patience.note_answer(rng.uniform(0.001, 0.004))
+            timeout.record_answer(rng.uniform(0.001, 0.004))
     assert sum(timeouts) < len(timeouts) * MAX_TIMEOUT_SECONDS / 2
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -48,7 +48,7 @@
         (
             (
                 view("a", resident=HOT, running=8, queued=2),
-                view("b", seconds_per_load=3.0, wishes=8),
+                view("b", seconds_per_load=3.0, pending_loads=8),
             ),
             "a",
         ),
@@ -93,14 +93,14 @@
     st.sampled_from([f"t{number}" for number in range(12)]),
     running=st.integers(0, 16),
     queued=st.integers(0, 200),
-    recent=st.integers(0, 50),
+    recent_dispatches=st.integers(0, 50),
     stalled=st.integers(0, 50),
     batch=st.integers(0, 16),
     resident=st.frozensets(st.integers(1, 5)),
     loading=st.frozensets(st.integers(1, 5)),
     seconds_per_request=st.floats(0.0, 100.0),
     seconds_per_load=st.floats(0.0, 100.0),
-    wishes=st.integers(0, 100),
+    pending_loads=st.integers(0, 100),
     free_slots=st.integers(0, 8),
     coldest=st.floats(0.0, 1e6),
     reachable=st.booleans(),
@@ -148,10 +148,10 @@
     entry.record_dispatch(TargetId("a"), 7, 1.0)
     entry.observe(report("a"), 1.05)
     (seen,) = entry.all()
-    assert (seen.recent, seen.loading, seen.wishes) == (1, HOT, 1)
+    assert (seen.recent_dispatches, seen.loading, seen.pending_loads) == (1, HOT, 1)
     entry.observe(report("a", running=1, resident=(7,)), 1.2)
     (seen,) = entry.all()
-    assert (seen.recent, seen.resident, seen.wishes) == (0, HOT, 0)
+    assert (seen.recent_dispatches, seen.resident, seen.pending_loads) == (0, HOT, 0)
 
 
 def test_all_targets_are_considered_when_no_candidate_is_usable():
--- a/tests/decisions/test_readspeed.py
+++ b/tests/decisions/test_readspeed.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ibishead.decisions.readspeed import FIRST_RATE, MAX_RATE, ReadSpeed
+from ibishead.decisions.readspeed import INITIAL_RATE, MAX_RATE, ReadSpeed
 from ibishead.decisions.turns import PromptWindow
 
 
@@ -24,7 +24,7 @@
         tokens = max(50, int(rng.lognormvariate(6.6, 0.8)))
         read = tokens / 2 if rng.random() < cached else tokens
         noise = rng.uniform(0.0, 0.004) + 0.03 * (rng.random() < 0.05)
-        speed.note(tokens, 0.035 + read / rate + noise)
+        speed.record(tokens, 0.035 + read / rate + noise)
     return speed
 
 
@@ -53,9 +53,9 @@
 @pytest.mark.parametrize(
     ("samples", "expected"),
     [
-        ([], FIRST_RATE),
+        ([], INITIAL_RATE),
         # Prompts of equal length show no rate.
-        ([(700, 0.05)] * 40, FIRST_RATE),
+        ([(700, 0.05)] * 40, INITIAL_RATE),
         # The time does not depend on the length.
         ([(100 * n, 0.05) for n in range(1, 33)], MAX_RATE),
     ],
@@ -63,7 +63,7 @@
 def test_uninformative_answers(samples, expected):
     speed = ReadSpeed()
     for tokens, seconds in samples:
-        speed.note(tokens, seconds)
+        speed.record(tokens, seconds)
     assert speed.rate == expected
 
 
--- a/tests/decisions/test_residents.py
+++ b/tests/decisions/test_residents.py
@@ -7,11 +7,11 @@
 from ibishead.decisions.eviction import ReuseCounter
 from ibishead.decisions.loadpace import LoadPace
 from ibishead.decisions.residents import (
+    AdapterDemand,
     EngineWeights,
     Idle,
     Load,
     Unload,
-    Wish,
     choose_order,
 )
 from ibishead.ids import ModelName
@@ -31,13 +31,13 @@
     return (Holding(MODEL, 1, tuple(AdapterRef(n, version) for n in names)),)
 
 
-def choose(weights, wishes=(), floors=None, heard=None, now=100.0, place=0.0):
+def choose(weights, demands=(), floors=None, received_at=None, now=100.0, place=0.0):
     return choose_order(
         SPEC,
         weights,
-        wishes,
+        demands,
         floors or {},
-        heard or {},
+        received_at or {},
         ReuseCounter(),
         now,
         place,
@@ -46,49 +46,73 @@
 
 
 @pytest.mark.parametrize(
-    ("weights", "wishes", "expected"),
+    ("weights", "demands", "expected"),
     [
         (EngineWeights(), (), Load(key(""))),
-        (EngineWeights(coming=frozenset({key("")})), (), Idle),
+        (EngineWeights(loading=frozenset({key("")})), (), Idle),
         (EngineWeights(hold()), (), Idle),
-        (EngineWeights(hold("a")), (Wish(key("b"), 0),), Load(key("b"))),
-        (EngineWeights(hold("a")), (Wish(key("a"), 2),), Load(key("a"), 2)),
-        (EngineWeights(hold("a", "b", "c")), (Wish(key("d"), 0),), Unload),
+        (EngineWeights(hold("a")), (AdapterDemand(key("b"), 0),), Load(key("b"))),
+        (EngineWeights(hold("a")), (AdapterDemand(key("a"), 2),), Load(key("a"), 2)),
+        (EngineWeights(hold("a", "b", "c")), (AdapterDemand(key("d"), 0),), Unload),
         (
-            EngineWeights(hold("a", "b"), coming=frozenset({key("c")})),
-            (Wish(key("d"), 0),),
+            EngineWeights(hold("a", "b"), loading=frozenset({key("c")})),
+            (AdapterDemand(key("d"), 0),),
             Unload,
         ),
         (
-            EngineWeights(hold("a"), coming=frozenset({key("b")})),
-            (Wish(key("b"), 0),),
+            EngineWeights(hold("a"), loading=frozenset({key("b")})),
+            (AdapterDemand(key("b"), 0),),
             Idle,
         ),
     ],
 )
-def test_next_order(weights, wishes, expected):
-    order = choose(weights, wishes)
+def test_next_order(weights, demands, expected):
+    order = choose(weights, demands)
     assert order == expected if not isinstance(expected, type) else True
     if isinstance(expected, type):
         assert isinstance(order, expected)
 
 
 @pytest.mark.parametrize(
-    ("wishes", "expected"),
+    ("demands", "expected"),
     [
-        ([Wish(key("a"), 0, 1.0, 100.9), Wish(key("b"), 0, 1.0, 100.5)], "a"),
+        (
+            [
+                AdapterDemand(key("a"), 0, 1.0, 100.9),
+                AdapterDemand(key("b"), 0, 1.0, 100.5),
+            ],
+            "a",
+        ),
         # Adapters whose callers are already late wait for those that can be in time.
-        ([Wish(key("a"), 0, 0.9, 100.1), Wish(key("b"), 0, 1.0, 99.9)], "b"),
-        ([Wish(key("a"), 0, 0.0, 99.0), Wish(key("b"), 0, 0.3, 98.0)], "b"),
-        ([Wish(key("a"), 0, 2.0, 100.5), Wish(key("b"), 0, 1.0, 100.6)], "a"),
+        (
+            [
+                AdapterDemand(key("a"), 0, 0.9, 100.1),
+                AdapterDemand(key("b"), 0, 1.0, 99.9),
+            ],
+            "b",
+        ),
+        (
+            [
+                AdapterDemand(key("a"), 0, 0.0, 99.0),
+                AdapterDemand(key("b"), 0, 0.3, 98.0),
+            ],
+            "b",
+        ),
+        (
+            [
+                AdapterDemand(key("a"), 0, 2.0, 100.5),
+                AdapterDemand(key("b"), 0, 1.0, 100.6),
+            ],
+            "a",
+        ),
     ],
 )
-def test_loads_that_serve_callers_in_time_go_first(wishes, expected):
+def test_loads_that_serve_callers_in_time_go_first(demands, expected):
     """Guards against loading in order of arrival after an outage.
 
     Each load would then serve a caller that is already late, and all would be late.
     """
-    assert choose(EngineWeights(hold()), wishes) == Load(key(expected))
+    assert choose(EngineWeights(hold()), demands) == Load(key(expected))
 
 
 def test_adapter_in_use_is_never_unloaded():
@@ -98,9 +122,9 @@
     """
     pinned = frozenset({key("a"), key("b"), key("c")})
     weights = EngineWeights(hold("a", "b", "c"), pinned=pinned)
-    assert isinstance(choose(weights, (Wish(key("d"), 0),)), Idle)
+    assert isinstance(choose(weights, (AdapterDemand(key("d"), 0),)), Idle)
     weights = EngineWeights(hold("a", "b", "c"), pinned=pinned - {key("b")})
-    assert choose(weights, (Wish(key("d"), 0),)) == Unload(key("b"))
+    assert choose(weights, (AdapterDemand(key("d"), 0),)) == Unload(key("b"))
 
 
 @pytest.mark.parametrize(
@@ -125,21 +149,21 @@
 
 @given(
     held=st.sets(st.sampled_from("abcdefg"), max_size=3),
-    coming=st.sets(st.sampled_from("hij"), max_size=2),
+    loading=st.sets(st.sampled_from("hij"), max_size=2),
     pinned=st.sets(st.sampled_from("abcdefg")),
-    wished=st.sets(st.sampled_from("abcdefghijkl"), max_size=5),
+    demanded=st.sets(st.sampled_from("abcdefghijkl"), max_size=5),
 )
-def test_orders_respect_slots_and_adapters_in_use(held, coming, pinned, wished):
-    held = set(sorted(held)[: 3 - len(coming)])
+def test_orders_respect_slots_and_adapters_in_use(held, loading, pinned, demanded):
+    held = set(sorted(held)[: 3 - len(loading)])
     weights = EngineWeights(
         hold(*sorted(held)),
-        frozenset(key(name) for name in coming),
+        frozenset(key(name) for name in loading),
         pinned=frozenset(key(name) for name in pinned),
     )
-    order = choose(weights, [Wish(key(name), 0) for name in sorted(wished)])
+    order = choose(weights, [AdapterDemand(key(name), 0) for name in sorted(demanded)])
     match order:
         case Load(loaded):
-            assert len({key(n) for n in held | coming} | {loaded}) <= 3
+            assert len({key(n) for n in held | loading} | {loaded}) <= 3
         case Unload(dropped):
             assert dropped.adapter in held - pinned
-            assert dropped.adapter not in wished
+            assert dropped.adapter not in demanded
--- a/tests/decisions/test_turns.py
+++ b/tests/decisions/test_turns.py
@@ -87,7 +87,7 @@
     window = PromptWindow(GAP)
     before = window.limit
     for pause in pauses:
-        window.note_pause(pause)
+        window.record_pause(pause)
     assert (window.limit - before) * direction > 0
 
 
@@ -133,9 +133,9 @@
     for _ in range(200):
         window.take(window.limit, 1.0)
         assert window.wait(10, 1.1) > 0
-        window.note_pause(0.1 * GAP)
+        window.record_pause(0.1 * GAP)
     assert window.limit > 2 * before
-    window.note_pause(1.2 * GAP)
+    window.record_pause(1.2 * GAP)
     assert window.limit <= before
 
 
@@ -143,7 +143,7 @@
     window = PromptWindow(GAP)
     before = window.limit
     for _ in range(200):
-        window.note_pause(0.1 * GAP)
+        window.record_pause(0.1 * GAP)
     assert window.limit < 1.1 * before
 
 
@@ -170,7 +170,7 @@
         streams = [advance(stream, now, engine.stride) for stream in streams]
         for stream in [s for s in streams if s[0] >= engine.length]:
             pauses.append(stream[2])
-            window.note_pause(stream[2])
+            window.record_pause(stream[2])
         streams = [s for s in streams if s[0] < engine.length]
         while chunk >= (reading[0] if reading else engine.chunk + 1):
             chunk -= reading.popleft()
--- a/tests/gateway/test_book.py
+++ b/tests/gateway/test_book.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from ibishead.decisions.health import HALF_LIFE
+from ibishead.decisions.health import FAILURE_HALF_LIFE_SECONDS
 from ibishead.gateway.book import TargetBook
 from ibishead.gateway.calls import TargetLoadTold
 from ibishead.ids import FailureDomain, ModelName, ServiceName, TargetId
@@ -94,7 +94,10 @@
     notes = book.notes(TARGET)
     for _ in range(10):
         book.note_outcome(notes, True, 0.0)
-    before, after = describe(book, 0.0).failures, describe(book, 2 * HALF_LIFE).failures
+    before, after = (
+        describe(book, 0.0).failures,
+        describe(book, 2 * FAILURE_HALF_LIFE_SECONDS).failures,
+    )
     assert before > 0.8
     assert after == pytest.approx(before / 4)
 
@@ -138,14 +141,14 @@
     """Eight engines fetch one adapter, each for another gateway."""
     book, other = TargetBook(), WeightKey(MODEL, "b")
     book.take_report(make_report(wished=(other,)), 0.0)
-    assert describe(book, 0.1, other).adapter.wished
+    assert describe(book, 0.1, other).adapter.requested
     mine = WeightKey(MODEL, "c")
     notes = book.notes(TARGET)
     book.begin_ask(notes, mine)
     place = describe(book, 0.1, mine).adapter
-    assert (place.wished, place.wishes) == (True, 2)
+    assert (place.requested, place.pending_loads) == (True, 2)
     book.end_ask(notes, mine)
-    assert not describe(book, 0.1, mine).adapter.wished
+    assert not describe(book, 0.1, mine).adapter.requested
 
 
 def test_targets_that_are_gone_leave_no_notes():
@@ -190,7 +193,7 @@
     book.take_report(make_report(), 0.0)
     book.notes(TARGET).heard_at = heard
     found = book.describe(TARGET, 10.0, 10.0, KEY, 0, True, None, mute)
-    assert found.unreached is unreached
+    assert found.unreachable is unreached
 
 
 @pytest.mark.parametrize(
@@ -201,8 +204,10 @@
     """Each gateway sends a target as much as it takes from all of them."""
     book = TargetBook()
     book.note_limit(TARGET, 2.0, gateways=8, now=0.0, offset=0.5)
-    assert describe(book, 0.0, key, linked=linked).share_wait == pytest.approx(wait)
+    assert describe(book, 0.0, key, linked=linked).rate_limit_wait == pytest.approx(
+        wait
+    )
     assert book.count_limited() == 1
     book.note_limit(TARGET, None, gateways=8, now=1.0, offset=0.5)
-    assert describe(book, 1.0, key, linked=linked).share_wait == 0.0
+    assert describe(book, 1.0, key, linked=linked).rate_limit_wait == 0.0
     assert book.count_limited() == 0
--- a/tests/gateway/test_pipeline.py
+++ b/tests/gateway/test_pipeline.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ibishead.clock import SystemClock
-from ibishead.decisions.holding import HOLD_LEAST
+from ibishead.decisions.holding import MIN_HOLD_SECONDS
 from ibishead.decisions.retry import BudgetShare
 from ibishead.errors import LinkLost
 from ibishead.gateway.book import TargetBook
@@ -342,7 +342,7 @@
     async with Setting(SAFE, answer_well) as setting:
         setting.feed.view = TargetView()
         setting.pipeline._chooser._began -= LEARN_TIME
-        async with asyncio.timeout(HOLD_LEAST / 2):
+        async with asyncio.timeout(MIN_HOLD_SECONDS / 2):
             assert (await setting.ask())[0] == 429
 
 
