--- a/src/ibishead/decisions/patience.py
+++ b/src/ibishead/decisions/patience.py
@@ -1,8 +1,8 @@
 """Adaptive timeout for the answers to orders sent to an engine.
 
 Orders are sent one at a time, so an unanswered order blocks the others until it times
-out. Repeating an order is harmless, since only one of the two is accepted. The timeout
-is therefore kept close to the time in which the engine usually answers.
+out. Repeating an order is harmless, since only one of the two is accepted. An order is
+therefore repeated soon after the time in which the engine usually answers.
 """
 
 __all__ = ["OrderTimeout"]
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -74,28 +74,28 @@
 
 
 @given(queries)
-def test_rejections_have_a_bounded_retry_delay(asked):
-    verdict = admit(asked)
+def test_rejections_have_a_bounded_retry_delay(request):
+    verdict = admit(request)
     if isinstance(verdict, Refused):
         assert 0.0 < verdict.retry_after <= 120.0
     else:
         assert isinstance(verdict, Admitted)
-        assert verdict.expected_wait + asked.seconds_per_request <= asked.deadline
+        assert verdict.expected_wait + request.seconds_per_request <= request.deadline
 
 
-@given(queries.filter(lambda asked: isinstance(admit(asked), Refused)))
-def test_jitter_spreads_retry_delays(asked):
+@given(queries.filter(lambda request: isinstance(admit(request), Refused)))
+def test_jitter_spreads_retry_delays(request):
     """Guards against a thousand rejected callers that all retry at the same moment.
 
     They are rejected within one second of saturation, by the same figures.
     """
-    low = admit(query_with(asked, 0.0)).retry_after
-    high = admit(query_with(asked, 0.99)).retry_after
+    low = admit(query_with(request, 0.0)).retry_after
+    high = admit(query_with(request, 0.99)).retry_after
     assert high > 1.9 * low
 
 
-def query_with(asked: AdmissionQuery, draw: float) -> AdmissionQuery:
-    fields = {name: getattr(asked, name) for name in asked.__dataclass_fields__}
+def query_with(request: AdmissionQuery, draw: float) -> AdmissionQuery:
+    fields = {name: getattr(request, name) for name in request.__dataclass_fields__}
     return AdmissionQuery(**(fields | {"draw": draw}))
 
 
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -155,7 +155,7 @@
     slots: dict[str, list[str]] = {f"e{n}": [] for n in range(9)}
     held: dict[str, set[str]] = {name: set() for name in slots}
     busy = dict.fromkeys(slots, 0.0)
-    asked = set()
+    requested_adapters = set()
     for adapter in map(str, rng.choices(names, weights, k=3000)):
         busy = {name: max(0.0, count - 0.115) for name, count in busy.items()}
         candidates = [
@@ -175,9 +175,9 @@
         busy[target] += 1
         slots[target] = [*(a for a in slots[target] if a != adapter), adapter][-19:]
         held[target].add(adapter)
-        asked.add(adapter)
+        requested_adapters.add(adapter)
     fetched = sum(len(found) for found in held.values())
-    assert fetched < 1.1 * len(asked)
+    assert fetched < 1.1 * len(requested_adapters)
 
 
 def simulate_restart(seed: int) -> float:
--- a/tests/decisions/test_loadpace.py
+++ b/tests/decisions/test_loadpace.py
@@ -107,10 +107,12 @@
             AdapterDemand(
                 WeightKey(MODEL, name),
                 1,
-                count_served([(at + OBJECTIVE, at + TIMEOUT) for at in asked], ready),
-                max(asked),
+                count_served(
+                    [(at + OBJECTIVE, at + TIMEOUT) for at in requests], ready
+                ),
+                max(requests),
             )
-            for name, asked in self.waiting.items()
+            for name, requests in self.waiting.items()
         ]
         return choose_order(
             SPEC, weights, demands, {}, {}, ReuseCounter(), now, 0.0, self.pace
@@ -129,8 +131,8 @@
                 del self.held[next(iter(self.held))]
             self.pace.record(now - since, now)
             timely += sum(now - at <= OBJECTIVE for at in self.waiting.pop(name, []))
-        for name, asked in list(self.waiting.items()):
-            self.waiting[name] = [at for at in asked if now - at < TIMEOUT]
+        for name, requests in list(self.waiting.items()):
+            self.waiting[name] = [at for at in requests if now - at < TIMEOUT]
             if not self.waiting[name]:
                 del self.waiting[name]
         return timely
@@ -143,14 +145,14 @@
     :param before: seconds for which requests have arrived before the engines start.
     :param seconds: duration of the simulation.
     """
-    timely = asked = 0
+    timely = requests = 0
     for seed in range(4):
         draw = random.Random(seed)
         engines = [_Engine(pace()) for _ in range(9)]
         for tick in range(-round(before / TICK), round(seconds / TICK)):
             now = tick * TICK
             if draw.random() < CALLERS * TICK:
-                asked += 1
+                requests += 1
                 number = draw.choices(ADAPTERS, cum_weights=POPULARITY)[0]
                 engine, name = engines[number * 7 % 9], f"a{number}"
                 if name in engine.held:
@@ -164,7 +166,7 @@
             loads = sum(len(engine.loading) for engine in engines)
             work = TICK * min(1.0, STORE_SHARE / max(1, loads))
             timely += sum(engine.advance(now + TICK, work) for engine in engines)
-    return timely / asked
+    return timely / requests
 
 
 def test_learned_limit_serves_more_callers_when_all_engines_load():
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -171,8 +171,8 @@
         entry.add(TargetId(f"t{number}"), DOMAIN)
         held = (7,) if number % 2 else ()
         entry.observe(report(f"t{number}", resident=held), 0.0)
-    chance = random.Random(1)
-    chosen = {entry.place(PlacementQuery(7), chance.random).target for _ in range(500)}
+    rng = random.Random(1)
+    chosen = {entry.place(PlacementQuery(7), rng.random).target for _ in range(500)}
     assert chosen == {TargetId(f"t{number}") for number in range(1, 40, 2)}
 
 
--- a/tests/decisions/test_sendrate.py
+++ b/tests/decisions/test_sendrate.py
@@ -9,9 +9,9 @@
 WINDOW = 4.0
 
 
-def send_all(rate: SendRate, asked: list[float]) -> list[float]:
+def send_all(rate: SendRate, arrivals: list[float]) -> list[float]:
     """Return the times at which requests that arrive at given times are sent."""
-    return [now + rate.take(now) for now in asked]
+    return [now + rate.take(now) for now in arrivals]
 
 
 def count_most(sent: list[float]) -> int:
@@ -23,10 +23,10 @@
     st.sampled_from([0.0, 1.0]),
     st.lists(st.floats(0.0, 20.0), max_size=80).map(sorted),
 )
-def test_no_window_exceeds_limit_and_saved_capacity(limit, saved, asked):
+def test_no_window_exceeds_limit_and_saved_capacity(limit, saved, arrivals):
     rate = SendRate(saved)
     rate.limit(limit, 0.0)
-    assert count_most(send_all(rate, asked)) <= limit * (WINDOW + saved) + 1 + 1e-6
+    assert count_most(send_all(rate, arrivals)) <= limit * (WINDOW + saved) + 1 + 1e-6
 
 
 @pytest.mark.parametrize(("saved", "last"), [(0.0, 11.5), (1.0, 10.5)])
