--- a/src/ibishead/gateway/choosing.py
+++ b/src/ibishead/gateway/choosing.py
@@ -12,7 +12,7 @@
 
 from ibishead.clock import Clock
 from ibishead.decisions.choice import Chosen, Need, choose_target
-from ibishead.decisions.holding import find_hold
+from ibishead.decisions.holding import compute_hold
 from ibishead.errors import IbisheadError, OutcomeUnknown, Refused
 from ibishead.gateway.recorder import RequestState
 from ibishead.gateway.stewards import StewardLinks, TurnOutcome
@@ -97,7 +97,7 @@
 
     async def _wait_for_discovery(self, request: RequestState) -> None:
         view, now = self._feed.view, self._clock.monotonic()
-        hold = find_hold(request.call.timeout)
+        hold = compute_hold(request.call.timeout)
         end = min(now + hold, self._started_at + DISCOVERY_SECONDS)
         while now < end and not view.list_service(request.service):
             await asyncio.sleep(DISCOVERY_POLL_SECONDS)
--- a/src/ibishead/gateway/tracker.py
+++ b/src/ibishead/gateway/tracker.py
@@ -5,10 +5,10 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field, replace
 
-from ibishead.decisions.choice import AdapterPlace, Candidate
+from ibishead.decisions.choice import AdapterState, Candidate
 from ibishead.decisions.health import FailureShare
-from ibishead.decisions.modelwait import expect_start
-from ibishead.decisions.readspeed import FIRST_RATE
+from ibishead.decisions.modelwait import estimate_start_wait
+from ibishead.decisions.readspeed import INITIAL_RATE
 from ibishead.decisions.sendrate import SendRate
 from ibishead.gateway.calls import TargetLoad
 from ibishead.gateway.stewards import ACK_TIMEOUT_SECONDS
@@ -192,7 +192,7 @@
 
     def record_outcome(self, stats: TargetStats, failed: bool, now: float) -> None:
         """Count a response as a success or a failure."""
-        stats.failures.note(failed, now)
+        stats.failures.record(failed, now)
 
     def record_failures(self, report: FailuresTold, now: float) -> None:
         """Record the share of failures in an engine's responses to all gateways."""
@@ -262,13 +262,13 @@
             min(4.0, max(0.25, pace)),
             max(stats.failures.read(now), stats.reported_failures.read(now)),
             silent=now - last_heard > SILENT_AFTER_SECONDS,
-            unreached=now < stats.unreachable_until
+            unreachable=now < stats.unreachable_until
             or (steward_unresponsive and not self.is_responsive(stats, now)),
             prompt_wait=max(0.0, stats.prompt_wait - (now - stats.prompt_wait_at)),
-            read_rate=read_rate or FIRST_RATE,
+            read_rate=read_rate or INITIAL_RATE,
             # A linked steward enforces the limit itself and includes it in the delays
             # that it reports.
-            share_wait=0.0
+            rate_limit_wait=0.0
             if weights is not None and manageable
             else stats.send_rate.wait(now),
             adapter=place,
@@ -297,9 +297,9 @@
         weights: WeightKey | None,
         min_version: int,
         manageable: bool,
-    ) -> AdapterPlace:
+    ) -> AdapterState:
         if weights is None:
-            return AdapterPlace(resident=True)
+            return AdapterState(resident=True)
         report = stats.report
         holdings = report.holdings if report is not None else target.holdings
         version, serving = None, False
@@ -317,14 +317,14 @@
             awaited.update(report.wished)
             awaited.difference_update(key for key, _ in report.coming)
         loading = report is not None and any(key == weights for key, _ in report.coming)
-        return AdapterPlace(
+        return AdapterState(
             resident=resident and weights not in stats.missing,
-            coming=loading and manageable,
+            loading=loading and manageable,
             recent=stats.held.get(weights, -1) >= min_version,
             outdated=version is not None and not resident,
-            room=report.free_slots if report is not None else 1,
-            wished=weights in awaited,
-            wishes=len(awaited),
+            free_slots=report.free_slots if report is not None else 1,
+            requested=weights in awaited,
+            pending_loads=len(awaited),
             serving=serving,
             manageable=manageable,
         )
@@ -333,7 +333,7 @@
 def _find_model_wait(stats: TargetStats, spec: EngineSpec | None, now: float) -> float:
     report = stats.report
     if report is None or not report.model_wait:
-        return expect_start(spec)
+        return estimate_start_wait(spec)
     # A load that exceeds the steward's estimate may finish at any moment.
     return max(MIN_MODEL_WAIT_SECONDS, report.model_wait - (now - stats.report_at))
 
--- a/tests/gateway/test_pipeline.py
+++ b/tests/gateway/test_pipeline.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ibishead.clock import SystemClock
-from ibishead.decisions.holding import HOLD_LEAST
+from ibishead.decisions.holding import MIN_HOLD_SECONDS
 from ibishead.decisions.retry import BudgetShare
 from ibishead.errors import LinkLost
 from ibishead.gateway.choosing import DISCOVERY_SECONDS
@@ -368,7 +368,7 @@
     async with Fixture(SAFE, respond) as fixture:
         fixture.feed.view = TargetView()
         fixture.pipeline._chooser._started_at -= DISCOVERY_SECONDS
-        async with asyncio.timeout(HOLD_LEAST / 2):
+        async with asyncio.timeout(MIN_HOLD_SECONDS / 2):
             assert (await fixture.ask())[0] == 429
 
 
--- a/tests/gateway/test_tracker.py
+++ b/tests/gateway/test_tracker.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from ibishead.decisions.health import HALF_LIFE
+from ibishead.decisions.health import FAILURE_HALF_LIFE_SECONDS
 from ibishead.gateway.calls import TargetLoad
 from ibishead.gateway.tracker import TargetTracker
 from ibishead.ids import FailureDomain, ModelName, ServiceName, TargetId
@@ -103,7 +103,7 @@
         tracker.record_outcome(stats, True, 0.0)
     before, after = (
         describe(tracker, 0.0).failures,
-        describe(tracker, 2 * HALF_LIFE).failures,
+        describe(tracker, 2 * FAILURE_HALF_LIFE_SECONDS).failures,
     )
     assert before > 0.8
     assert after == pytest.approx(before / 4)
@@ -155,14 +155,14 @@
     """
     tracker, other = TargetTracker(), WeightKey(MODEL, "b")
     tracker.record_report(make_report(wished=(other,)), 0.0)
-    assert describe(tracker, 0.1, other).adapter.wished
+    assert describe(tracker, 0.1, other).adapter.requested
     own = WeightKey(MODEL, "c")
     stats = tracker.stats(TARGET)
     tracker.begin_wait(stats, own)
     place = describe(tracker, 0.1, own).adapter
-    assert (place.wished, place.wishes) == (True, 2)
+    assert (place.requested, place.pending_loads) == (True, 2)
     tracker.end_wait(stats, own)
-    assert not describe(tracker, 0.1, own).adapter.wished
+    assert not describe(tracker, 0.1, own).adapter.requested
 
 
 def test_statistics_on_deregistered_targets_are_discarded():
@@ -217,7 +217,7 @@
     tracker.record_report(make_report(), 0.0)
     tracker.stats(TARGET).last_data_at = heard
     found = tracker.make_candidate(TARGET, 10.0, 10.0, KEY, 0, True, None, mute)
-    assert found.unreached is unreached
+    assert found.unreachable is unreached
 
 
 @pytest.mark.parametrize(
@@ -230,8 +230,10 @@
     """Without a share per gateway, the gateways together exceed a target's limit."""
     tracker = TargetTracker()
     tracker.record_limit(TARGET, 2.0, gateways=8, now=0.0, offset=0.5)
-    assert describe(tracker, 0.0, key, linked=linked).share_wait == pytest.approx(wait)
+    assert describe(tracker, 0.0, key, linked=linked).rate_limit_wait == pytest.approx(
+        wait
+    )
     assert tracker.count_limited() == 1
     tracker.record_limit(TARGET, None, gateways=8, now=1.0, offset=0.5)
-    assert describe(tracker, 1.0, key, linked=linked).share_wait == 0.0
+    assert describe(tracker, 1.0, key, linked=linked).rate_limit_wait == 0.0
     assert tracker.count_limited() == 0
