--- a/src/ibishead/registry/__init__.py
+++ b/src/ibishead/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry: hears targets, keeps routes and versions on a replicated log."""
+"""The registry: tracks targets, and keeps routes and versions in a replicated log."""
--- a/src/ibishead/registry/founders.py
+++ b/src/ibishead/registry/founders.py
@@ -1,4 +1,7 @@
-"""Who founds the replicated log when the whole system starts for the first time."""
+"""Choice of the founders, the first voters of the replicated log.
+
+It is made once, when the whole system starts for the first time.
+"""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,63 +10,72 @@
 
 __all__ = ["choose_founders", "count_voters"]
 
-#: Seconds to wait for all disks to be known, and for any at all.
-SETTLE_TIME = 1.5
-LONGEST_WAIT = 5.0
+#: Minimum wait before the log is founded, so that all disks become known.
+SETTLE_SECONDS = 1.5
+
+#: Wait after which the log is founded with fewer voters than configured.
+FULL_SET_TIMEOUT_SECONDS = 5.0
 
-#: Most voters; each further one slows a commit and bears no more losses than asked.
-MOST_VOTERS = 7
+#: Upper bound on voters. Each further voter slows every commit, and tolerates no
+#: losses beyond those configured.
+MAX_VOTERS = 7
 
 
 def count_voters(losses: int) -> int:
-    """Return how many voters bear that many losses at once.
+    """Return the number of voters that tolerates simultaneous losses.
 
-    :param losses: hosts with a disk that may be lost together.
+    :param losses: hosts with a disk that may be lost at the same time.
     """
-    return min(MOST_VOTERS, 2 * max(1, losses) + 1)
+    return min(MAX_VOTERS, 2 * max(1, losses) + 1)
 
 
 def choose_founders(
     own: HostId, seeds: Sequence[str], members: Iterable[MemberRecord], wanted: int
 ) -> tuple[HostId, ...]:
-    """Return the first voters, own host first, if this host is the one to found.
-
-    Failure: two hosts that both found would each accept changes that the other never
-    hears of. So only one host may: the first seed with a disk, or, where no seed has
-    one, the first host with a disk. A seed that hasn't been heard might be that one,
-    and nothing is founded until it has.
-
-    :param seeds: operators' addresses of the first registries, the same on all hosts.
-    :param members: the registries that are known, this one included.
+    """Return the founders, this host first, if this host is to found the log.
+
+    Two hosts that each founded a log would accept changes that the other never
+    receives. So exactly one host founds it: the first seed with a disk or, if no seed
+    has one, the first host with a disk. Any seed that is not yet known may be that
+    host, so the log is not founded until all seeds are known.
+
+    :param own: this host.
+    :param seeds: ``ADDRESS:PORT`` of the HTTP servers of the configured registries,
+        in the same order on all hosts.
+    :param members: the known registries, including this one.
+    :param wanted: number of voters to choose, if there are enough disks.
+    :returns: the founders; empty if another host founds the log, a seed is not yet
+        known, or no known host has a disk.
     """
-    known = {found.operators: found for found in members if found.operators}
+    known = {member.operators: member for member in members if member.operators}
     if any(seed not in known for seed in seeds):
         return ()
-    disks = sorted(
-        (found for found in known.values() if found.replica), key=lambda m: m.host
+    candidates = sorted(
+        (member for member in known.values() if member.replica), key=lambda m: m.host
     )
-    if not disks:
+    if not candidates:
         return ()
-    first = next((known[seed] for seed in seeds if known[seed].replica), disks[0])
+    first = next((known[seed] for seed in seeds if known[seed].replica), candidates[0])
     if first.host != own:
         return ()
-    return _spread(first, disks, wanted)
+    return _choose_voters(first, candidates, wanted)
 
 
-def _spread(
-    first: MemberRecord, disks: list[MemberRecord], wanted: int
+def _choose_voters(
+    first: MemberRecord, candidates: list[MemberRecord], wanted: int
 ) -> tuple[HostId, ...]:
-    # Voters of one failure domain go together, so each domain gets one in turn
-    size = min(wanted, len(disks) - 1 + len(disks) % 2)
+    # Voters in one failure domain fail together, so each choice is made from the
+    # domain with the fewest voters so far
+    size = min(wanted, len(candidates) - 1 + len(candidates) % 2)
     chosen = [first]
-    rest = [found for found in disks if found.host != first.host]
+    rest = [member for member in candidates if member.host != first.host]
     while len(chosen) < size:
-        counts = {found.host: _count(chosen, found) for found in rest}
-        nearest = min(rest, key=lambda m: (counts[m.host], m.host))
-        chosen.append(nearest)
-        rest.remove(nearest)
-    return tuple(found.host for found in chosen)
+        counts = {member.host: _count_in_domain(chosen, member) for member in rest}
+        selected = min(rest, key=lambda m: (counts[m.host], m.host))
+        chosen.append(selected)
+        rest.remove(selected)
+    return tuple(member.host for member in chosen)
 
 
-def _count(chosen: list[MemberRecord], candidate: MemberRecord) -> int:
-    return sum(found.domain == candidate.domain for found in chosen)
+def _count_in_domain(chosen: list[MemberRecord], candidate: MemberRecord) -> int:
+    return sum(member.domain == candidate.domain for member in chosen)
--- a/src/ibishead/registry/publisher.py
+++ b/src/ibishead/registry/publisher.py
@@ -1,4 +1,4 @@
-"""The registry's side of the feed: subscribers, and what each is told."""
+"""The registry's side of the feed: its subscribers and the updates sent to each."""
 
 import asyncio
 import logging
@@ -31,35 +31,40 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between two batches of signs of life; they decide nothing in a hurry.
-LIFE_INTERVAL = 0.6
+#: Interval between two batches of heartbeats. No urgent decision depends on them.
+HEARTBEAT_BATCH_SECONDS = 0.6
 
-#: Seconds for which news of members is gathered. Programs that start together make
-#: each other known in a few batches instead of one message each.
-MEMBERS_WAIT = 0.2
+#: Time for which updates about members are collected. Programs that start together
+#: are announced to each other in a few batches instead of one message each.
+MEMBERS_BATCH_SECONDS = 0.2
 
 
 @dataclass
 class _Subscriber:
-    """What one subscriber has been told.
+    """A subscriber, and which member updates it has yet to receive.
 
-    :param position: in the publisher's present batch of news, from which on it hasn't
-        been told.
+    :param position: index of the first update in the publisher's current batch that
+        it has not been sent.
     """
 
     member: MemberRecord
     position: int
 
-    def wants_member(self, found: MemberRecord) -> bool:
-        """Return whether the subscriber has to know of a program.
+    def needs_member(self, member: MemberRecord) -> bool:
+        """Return whether the subscriber needs the address of a program.
 
-        Stewards are dialled by gateways, and dial nobody but registries.
+        Stewards are dialled by gateways, and dial only registries themselves.
         """
         steward = self.member.kind is MemberKind.STEWARD
-        return not steward or found.kind is MemberKind.REGISTRY
+        return not steward or member.kind is MemberKind.REGISTRY
 
-    def wants_target(self, address: str) -> bool:
-        """Return whether the subscriber has to know of a target at an address."""
+    def needs_target(self, address: str) -> bool:
+        """Return whether the subscriber needs updates about a target.
+
+        A steward needs only those about its own engine.
+
+        :param address: ``ADDRESS:PORT`` of the target.
+        """
         steward = self.member.kind is MemberKind.STEWARD
         return not steward or address == self.member.target
 
@@ -70,12 +75,15 @@
 
 
 class FeedPublisher:
-    """Tells subscribers of members, targets, routes and floors.
+    """Sends subscribers updates about members, targets, routes and floors.
 
-    News that came from a target or a program itself goes to everybody; news that came
-    from another registry goes to all but registries, so that nothing circles.
+    An update received directly from a target or program goes to every subscriber. One
+    relayed by another registry goes to all except registries, to prevent forwarding
+    loops.
 
-    :param meet: called with each program that subscribes.
+    :param take_fence: returns a new fencing number for the host that it is called with.
+    :param on_registration: called with each registration received from a steward.
+    :param on_subscriber: called with each program that subscribes.
     """
 
     def __init__(
@@ -83,38 +91,41 @@
         state: RouteState,
         feed: RegistryFeed,
         take_fence: Callable[[str], Awaitable[int]],
-        announce: Callable[[Registration], None],
-        meet: Callable[[MemberRecord], None],
+        on_registration: Callable[[Registration], None],
+        on_subscriber: Callable[[MemberRecord], None],
     ) -> None:
         self._state = state
         self._feed = feed
         self._take_fence = take_fence
-        self._announce = announce
-        self._meet = meet
+        self._on_registration = on_registration
+        self._on_subscriber = on_subscriber
         self._subscribers: dict[Link, _Subscriber] = {}
-        self._news: list[tuple[MemberRecord, bool]] = []
-        self._news_due: asyncio.TimerHandle | None = None
-        self._alive: dict[str, Registration] = {}
+        self._pending_members: list[tuple[MemberRecord, bool]] = []
+        self._flush_timer: asyncio.TimerHandle | None = None
+        self._heartbeats: dict[str, Registration] = {}
         self._history = RouteHistory()
         self._floor_index = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def count(self) -> int:
-        """How many programs subscribe."""
+        """Number of subscribers."""
         return len(self._subscribers)
 
-    def take(self, link: Link, message: Message) -> bool:
-        """Take a subscriber's message, and return whether it was one for here."""
+    def handle_message(self, link: Link, message: Message) -> bool:
+        """Handle a message from a subscriber.
+
+        :returns: whether the message is of a kind that the publisher handles.
+        """
         match message:
             case SubscribeFeed(member, floors):
-                self._welcome(link, member, floors)
+                self._add_subscriber(link, member, floors)
             case AskRoutes(held):
                 self._answer_routes(link, held)
             case Statements(registrations):
-                # a steward speaks for its engine, which has not announced itself yet
+                # A steward registers its engine until the engine does so itself
                 for registration in registrations:
-                    self._announce(registration)
+                    self._on_registration(registration)
             case AskFence(number):
                 task = asyncio.create_task(self._answer_fence(link, number))
                 self._tasks.add(task)
@@ -123,45 +134,50 @@
                 return False
         return True
 
-    def drop(self, link: Link) -> None:
-        """Forget a subscriber whose link is over."""
-        found = self._subscribers.pop(link, None)
-        if found is not None:
-            logger.info("subscriber lost", extra={"peer": found.member.host})
+    def remove_subscriber(self, link: Link) -> None:
+        """Remove the subscriber of a closed link, if there is one."""
+        subscriber = self._subscribers.pop(link, None)
+        if subscriber is not None:
+            logger.info(
+                "subscriber disconnected", extra={"peer": subscriber.member.host}
+            )
 
-    def tell_own(self, registrations: tuple[Registration, ...]) -> None:
-        """Pass on what targets have said to this registry."""
+    def publish_registrations(self, registrations: tuple[Registration, ...]) -> None:
+        """Send registrations that targets made at this registry to all subscribers."""
         for link, subscriber in self._subscribers.items():
-            _tell_targets(link, subscriber, registrations)
+            _send_registrations(link, subscriber, registrations)
 
-    def tell_others(self, registrations: tuple[Registration, ...]) -> None:
-        """Pass on what another registry has told."""
+    def relay_registrations(self, registrations: tuple[Registration, ...]) -> None:
+        """Send registrations relayed by another registry to all but registries."""
         for link, subscriber in self._subscribers.items():
             if not subscriber.is_registry:
-                _tell_targets(link, subscriber, registrations)
+                _send_registrations(link, subscriber, registrations)
 
-    def note_life(self, registration: Registration) -> None:
-        """Count a statement that changed nothing, for the next batch."""
-        self._alive[registration.target] = registration
+    def queue_heartbeat(self, registration: Registration) -> None:
+        """Add a registration that changed nothing to the next batch of heartbeats."""
+        self._heartbeats[registration.target] = registration
 
-    def tell_members(self, members: Iterable[MemberRecord], relayed: bool) -> None:
-        """Pass on who has become known, soon.
+    def publish_members(self, members: Iterable[MemberRecord], relayed: bool) -> None:
+        """Send new or changed members, in batches unless one of them is a registry.
 
-        :param relayed: another registry has told it, and tells the other ones.
+        :param relayed: the members were received from another registry, which also
+            sends them to the other registries.
         """
         urgent = False
         for member in members:
-            self._news.append((member, relayed))
+            self._pending_members.append((member, relayed))
             urgent = urgent or member.kind is MemberKind.REGISTRY
         if urgent:
-            # hosts that start link to registries before all else
+            # Starting hosts link to the registries before anything else
             self._flush_members()
-        elif self._news_due is None:
+        elif self._flush_timer is None:
             loop = asyncio.get_running_loop()
-            self._news_due = loop.call_later(MEMBERS_WAIT, self._flush_members)
+            self._flush_timer = loop.call_later(
+                MEMBERS_BATCH_SECONDS, self._flush_members
+            )
 
-    def tell_state(self) -> None:
-        """Tell everybody which routes and floors are in force here."""
+    def publish_state(self) -> None:
+        """Send the version of the routes and the new floors in force here."""
         if self._state.routes is not None:
             self._history.add(self._state.routes)
         floors = self._state.list_floors(self._floor_index)
@@ -176,30 +192,31 @@
                 link.send(Floors(floors, self._floor_index))
 
     async def run(self) -> None:
-        """Send batches of signs of life until cancelled."""
+        """Send batches of heartbeats until cancelled."""
         while True:
-            await asyncio.sleep(LIFE_INTERVAL)
-            if not self._alive:
+            await asyncio.sleep(HEARTBEAT_BATCH_SECONDS)
+            if not self._heartbeats:
                 continue
-            alive = tuple(self._alive.values())
-            self._alive.clear()
-            whole = SignsOfLife(_sign(alive))
+            batch = tuple(self._heartbeats.values())
+            self._heartbeats.clear()
+            message = SignsOfLife(_list_heartbeats(batch))
             for link, subscriber in self._subscribers.items():
                 if subscriber.member.kind is not MemberKind.STEWARD:
-                    link.send(whole)
-                elif own := [r for r in alive if subscriber.wants_target(r.address)]:
-                    link.send(SignsOfLife(_sign(own)))
+                    link.send(message)
+                elif own := [r for r in batch if subscriber.needs_target(r.address)]:
+                    link.send(SignsOfLife(_list_heartbeats(own)))
 
-    def _welcome(self, link: Link, member: MemberRecord, floors: int) -> None:
+    def _add_subscriber(self, link: Link, member: MemberRecord, floors: int) -> None:
         logger.info(
-            "subscriber linked", extra={"peer": member.host, "kind": member.kind.value}
+            "subscriber connected",
+            extra={"peer": member.host, "kind": member.kind.value},
         )
-        self._meet(member)
-        subscriber = _Subscriber(member, len(self._news))
+        self._on_subscriber(member)
+        subscriber = _Subscriber(member, len(self._pending_members))
         self._subscribers[link] = subscriber
-        known = tuple(filter(subscriber.wants_member, self._feed.members.values()))
+        known = tuple(filter(subscriber.needs_member, self._feed.members.values()))
         link.send(Members(known))
-        _tell_targets(link, subscriber, tuple(self._feed.view))
+        _send_registrations(link, subscriber, tuple(self._feed.view))
         if subscriber.is_registry:
             return
         if self._state.routes is not None:
@@ -209,21 +226,21 @@
             link.send(Floors(raised, max(floor.index for floor in raised)))
 
     def _flush_members(self) -> None:
-        if self._news_due is not None:
-            self._news_due.cancel()
-            self._news_due = None
+        if self._flush_timer is not None:
+            self._flush_timer.cancel()
+            self._flush_timer = None
         for link, subscriber in self._subscribers.items():
-            fresh = tuple(
-                found
-                for found, relayed in self._news[subscriber.position :]
-                if subscriber.wants_member(found)
-                and found != subscriber.member
+            unsent = tuple(
+                member
+                for member, relayed in self._pending_members[subscriber.position :]
+                if subscriber.needs_member(member)
+                and member != subscriber.member
                 and not (relayed and subscriber.is_registry)
             )
             subscriber.position = 0
-            if fresh:
-                link.send(Members(fresh))
-        self._news.clear()
+            if unsent:
+                link.send(Members(unsent))
+        self._pending_members.clear()
 
     def _answer_routes(self, link: Link, held: int) -> None:
         if self._state.routes is None:
@@ -233,27 +250,30 @@
         link.send(RoutesAnswer(self._state.version, encoded, base))
 
     async def _answer_fence(self, link: Link, number: int) -> None:
-        found = self._subscribers.get(link)
+        subscriber = self._subscribers.get(link)
         try:
             fence = await self._take_fence(
-                found.member.host if found else link.peer.host
+                subscriber.member.host if subscriber else link.peer.host
             )
         except Exception as error:
-            # The steward asks again, here or elsewhere, until a quorum answers
-            logger.warning("no fencing number", extra={"reason": str(error)})
+            # The steward retries, here or at another registry, until a quorum answers
+            logger.warning(
+                "fencing number not allocated; the steward retries",
+                extra={"reason": str(error)},
+            )
             fence = 0
         link.send(FenceAnswer(number, fence))
 
 
-def _tell_targets(
+def _send_registrations(
     link: Link, subscriber: _Subscriber, registrations: tuple[Registration, ...]
 ) -> None:
-    wanted = tuple(r for r in registrations if subscriber.wants_target(r.address))
-    if wanted:
-        link.send(Statements(wanted))
+    relevant = tuple(r for r in registrations if subscriber.needs_target(r.address))
+    if relevant:
+        link.send(Statements(relevant))
 
 
-def _sign(
+def _list_heartbeats(
     registrations: Iterable[Registration],
 ) -> tuple[tuple[TargetId, int, int], ...]:
     return tuple((r.target, r.born, r.sequence) for r in registrations)
--- a/src/ibishead/registry/server.py
+++ b/src/ibishead/registry/server.py
@@ -1,4 +1,4 @@
-"""One registry: its replica, its subscribers, and its HTTP door."""
+"""The registry program: its log replica, its subscribers and its HTTP server."""
 
 import asyncio
 import logging
@@ -19,8 +19,8 @@
 from ibishead.messages import Hello, PeerFrame, Role
 from ibishead.metrics import Metrics
 from ibishead.registry.founders import (
-    LONGEST_WAIT,
-    SETTLE_TIME,
+    FULL_SET_TIMEOUT_SECONDS,
+    SETTLE_SECONDS,
     choose_founders,
     count_voters,
 )
@@ -36,35 +36,36 @@
 
 logger = logging.getLogger(__name__)
 
-#: Largest route set that is taken, in bytes; some thousand routes are a tenth of it.
-MAX_DOCUMENT = 8 * 1024 * 1024
+#: Maximum size of a submitted route set. A few thousand routes take a tenth of it.
+MAX_DOCUMENT_BYTES = 8 * 1024 * 1024
 
-#: Bytes of randomness in the name of a new replica or cluster.
-_NAME_BYTES = 6
+#: Random bytes in the identifier of a new replica or cluster.
+_ID_BYTES = 6
 
-#: Bytes that stay free on a small disk, so that a snapshot always finds room.
-DISK_RESERVE = 6 * 1024 * 1024
+#: Space kept free on a small disk, so that a snapshot can always be written.
+DISK_RESERVE_BYTES = 6 * 1024 * 1024
 
-#: Bytes of commands between two snapshots: the log stays a small part of the disk.
+#: Size of the commands after which a snapshot is taken, so that the log occupies only
+#: a small part of the disk.
 SNAPSHOT_BYTES = 4 * 1024 * 1024
 
-#: Ticks of 0.1 s until the first election after a start. Hosts that start together do
-#: so within 0.3 s. After a kill of all programs callers are served 0.6 s sooner than
-#: after the usual wait.
-FIRST_ELECTION = 3
+#: Election timeout after a start, in ticks of 0.1 s. Hosts that start together do so
+#: within 0.3 s. After all programs were killed, service resumes 0.6 s sooner than with
+#: the regular election timeout.
+FIRST_ELECTION_TICKS = 3
 
-#: Seconds between two looks at who might found the log.
-FOUND_INTERVAL = 0.2
+#: Interval between two checks whether this host is to found the log.
+FOUNDING_CHECK_SECONDS = 0.2
 
-#: Seconds in which exchanges under way end at a planned stop.
-STOP_GRACE = 3.0
+#: Time in which HTTP exchanges in progress may finish at a planned stop.
+STOP_GRACE_SECONDS = 3.0
 
 
 class Registry:
     """Runs one registry.
 
-    :param make_door: turns the service into the handler of its HTTP server.
-    :param on_failure: called when the disk has failed and nothing can go on.
+    :param make_handler: returns the request handler of the HTTP server for a service.
+    :param on_failure: called when the disk has failed and the replica cannot continue.
     :raises StorageFault: the data folder is damaged or in use.
     """
 
@@ -72,7 +73,9 @@
         self,
         settings: RegistrySettings,
         clock: Clock,
-        make_door: Callable[[RegistryService], Callable[[Exchange], Awaitable[None]]],
+        make_handler: Callable[
+            [RegistryService], Callable[[Exchange], Awaitable[None]]
+        ],
         on_failure: Callable[[StorageFault], None],
     ) -> None:
         self._settings = settings
@@ -100,20 +103,20 @@
             member,
             tuple(Endpoint(s.address, settings.seed_port) for s in settings.seeds),
             clock,
-            on_statements=lambda news: self._publisher.tell_others(news),
-            on_members=self._note_members,
+            on_statements=lambda fresh: self._publisher.relay_registrations(fresh),
+            on_members=self._handle_members,
         )
         self._publisher = FeedPublisher(
             self.state,
             self.feed,
             lambda holder: self.service.take_fence(holder),
-            lambda statement: self.service.announce(statement),
-            self._meet_subscriber,
+            lambda registration: self.service.announce(registration),
+            self._handle_subscriber,
         )
         self.service = RegistryService(
             self.state, self.replica, self.feed, self._publisher, clock, self.metrics
         )
-        self.state.on_change = self._publisher.tell_state
+        self.state.on_change = self._publisher.publish_state
         self._links = LinkServer(
             self._serve_link,
             lambda: Hello(Role.CONTROL, settings.host),
@@ -121,12 +124,13 @@
             FEED_PACE,
         )
         self._web = WebServer(
-            make_door(self.service), Limits(body_bytes=MAX_DOCUMENT, idle_seconds=20.0)
+            make_handler(self.service),
+            Limits(body_bytes=MAX_DOCUMENT_BYTES, idle_seconds=20.0),
         )
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Listen, and begin to take part."""
+        """Open the servers, and start the replica and the feed."""
         await self._links.start(self._settings.links)
         if self.replica is not None:
             await self.replica.start()
@@ -134,10 +138,10 @@
         await self._web.start(self._settings.http)
         self._tasks.append(asyncio.create_task(self._publisher.run()))
         if self.replica is not None and self._settings.first_start:
-            self._tasks.append(asyncio.create_task(self._found()))
+            self._tasks.append(asyncio.create_task(self._found_log()))
 
     def list_gauges(self) -> dict[str, float]:
-        """Return present values by name."""
+        """Return the current values of the gauges by name."""
         gauges: dict[str, float] = {
             "routes_version": self.state.version,
             "subscribers": self._publisher.count,
@@ -153,14 +157,17 @@
         return gauges
 
     async def stop(self) -> None:
-        """Hand over, finish what is under way, close everything."""
+        """Transfer leadership, finish exchanges in progress and close all links."""
         self._web.begin_stop()
         if self.replica is not None:
             try:
                 await self.replica.transfer()
             except Exception as error:
-                logger.warning("leadership kept", extra={"reason": str(error)})
-        await self._web.stop(STOP_GRACE)
+                logger.warning(
+                    "leadership not transferred before the stop",
+                    extra={"reason": str(error)},
+                )
+        await self._web.stop(STOP_GRACE_SECONDS)
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -174,21 +181,21 @@
     ) -> LogReplica:
         folder = DataFolder(data)
 
-        def draw_name() -> str:
-            return secrets.token_hex(_NAME_BYTES)
+        def generate_id() -> str:
+            return secrets.token_hex(_ID_BYTES)
 
         pace = Pace(
             tick=0.1,
-            timing=Timing(heartbeat=2, election=9, first=FIRST_ELECTION),
+            timing=Timing(heartbeat=2, election=9, first=FIRST_ELECTION_TICKS),
             answer=0.8,
             repair=self._settings.repair_after,
             readmit=True,
             voters=count_voters(self._settings.losses),
             snapshot_bytes=SNAPSHOT_BYTES,
-            reserve=DISK_RESERVE,
+            reserve=DISK_RESERVE_BYTES,
         )
         try:
-            identity = load_identity(folder, self._settings.host, draw_name)
+            identity = load_identity(folder, self._settings.host, generate_id)
             logger.info(
                 "replica opened",
                 extra={"replica": identity.replica, "cluster": identity.cluster},
@@ -201,7 +208,7 @@
                 self._peers,
                 self._clock,
                 secrets.randbelow,
-                draw_name,
+                generate_id,
                 pace,
                 on_failure,
             )
@@ -209,14 +216,14 @@
             folder.close()
             raise
 
-    def _meet_subscriber(self, member: MemberRecord) -> None:
+    def _handle_subscriber(self, member: MemberRecord) -> None:
         fresh = self.feed.meet((member,))
         self._add_peers(fresh)
-        self._publisher.tell_members(fresh, relayed=False)
+        self._publisher.publish_members(fresh, relayed=False)
 
-    def _note_members(self, members: list[MemberRecord]) -> None:
+    def _handle_members(self, members: list[MemberRecord]) -> None:
         self._add_peers(members)
-        self._publisher.tell_members(members, relayed=True)
+        self._publisher.publish_members(members, relayed=True)
 
     def _add_peers(self, members: list[MemberRecord]) -> None:
         for member in members:
@@ -231,27 +238,27 @@
                 if isinstance(message, PeerFrame):
                     if self.replica is not None:
                         self.replica.take_frame(message)
-                elif not self._publisher.take(link, message):
+                elif not self._publisher.handle_message(link, message):
                     logger.warning(
                         "unexpected message",
                         extra={"peer": link.peer.host, "kind": type(message).__name__},
                     )
         finally:
-            self._publisher.drop(link)
+            self._publisher.remove_subscriber(link)
 
-    async def _found(self) -> None:
-        # All hosts start together, but each hears of the others in its own time
+    async def _found_log(self) -> None:
+        # All hosts start together, but learn of each other at different times
         assert self.replica is not None
         wanted = count_voters(self._settings.losses)
         seeds = [str(seed) for seed in self._settings.seeds]
         started = self._clock.monotonic()
         while True:
-            await asyncio.sleep(FOUND_INTERVAL)
+            await asyncio.sleep(FOUNDING_CHECK_SECONDS)
             waited = self._clock.monotonic() - started
             members = self.feed.list_members(MemberKind.REGISTRY)
             founders = choose_founders(self._settings.host, seeds, members, wanted)
-            enough = len(founders) >= wanted or waited >= LONGEST_WAIT
-            if founders and enough and waited >= SETTLE_TIME:
+            enough = len(founders) >= wanted or waited >= FULL_SET_TIMEOUT_SECONDS
+            if founders and enough and waited >= SETTLE_SECONDS:
                 logger.info("founding", extra={"founders": ",".join(founders)})
                 self.replica.founding.name_founders(founders)
                 return
--- a/src/ibishead/registry/service.py
+++ b/src/ibishead/registry/service.py
@@ -1,4 +1,4 @@
-"""What a registry does for targets and operators, whatever they speak."""
+"""The registry's operations for targets and operators, independent of the protocol."""
 
 import asyncio
 import contextlib
@@ -39,38 +39,40 @@
 
 _T = TypeVar("_T")
 
-#: Errors of a replica after which a command is certainly not in the log.
-_NOT_TAKEN = frozenset({ErrorCode.NO_QUORUM, ErrorCode.STORAGE_FULL})
+#: Error codes of a replica that prove that a command was not appended to the log.
+_NOT_APPENDED = frozenset({ErrorCode.NO_QUORUM, ErrorCode.STORAGE_FULL})
 
-#: Seconds between two tries of a command that found no leader.
-RETRY_PAUSE = 0.05
+#: Delay before a command that found no leader is retried.
+RETRY_INTERVAL_SECONDS = 0.05
 
-#: Seconds in which an operator's command is tried again. Operators ask another host
-#: after a second without an answer.
-COMMAND_TIME = 0.85
+#: Time for which a command is retried. Operators try another host after one second
+#: without an answer.
+COMMAND_TIMEOUT_SECONDS = 0.85
 
-#: Seconds after which an operator may come back when there is no quorum.
-QUORUM_WAIT = timedelta(seconds=0.3)
+#: Retry delay suggested to callers when there is no quorum.
+NO_QUORUM_RETRY_AFTER = timedelta(seconds=0.3)
 
 
 class ElsewhereError(IbisheadError):
-    """This registry keeps no log; another one does.
+    """This registry has no log replica; the caller is redirected to one that has.
 
-    :param address: ``ADDRESS:PORT`` of the other one's operators' server.
+    :param address: ``ADDRESS:PORT`` of that registry's HTTP server.
     """
 
     code = ErrorCode.NOT_LEADER
     status = 307
 
     def __init__(self, address: str) -> None:
-        super().__init__("this registry keeps no log", f"ask {address}")
+        super().__init__(
+            "this registry has no log replica", f"send the request to {address}"
+        )
         self.address = address
 
 
 class RegistryService:
-    """Takes statements of targets and commands of operators.
+    """Handles registrations of targets and commands of operators.
 
-    :param replica: this registry's part of the log, none on a host without a disk.
+    :param replica: this registry's log replica; none on a host without a disk.
     """
 
     def __init__(
@@ -88,108 +90,118 @@
         self._publisher = publisher
         self._clock = clock
         self.metrics = metrics
-        self._redirects = 0
+        self._redirect_count = 0
 
     # Targets -----------------------------------------------------------------
 
-    def announce(self, statement: Registration) -> None:
-        """Take in what a target says of itself, and tell all who are linked."""
+    def announce(self, registration: Registration) -> None:
+        """Merge a target's registration, and send it to subscribers if it changed.
+
+        A registration that repeats the last one is sent as a heartbeat.
+        """
         now = self._clock.monotonic()
-        known = self._feed.view.get(statement.target)
-        if not self._feed.view.merge(statement, now):
+        known = self._feed.view.get(registration.target)
+        if not self._feed.view.merge(registration, now):
             return
-        if known is not None and _repeats(known, statement):
-            self._publisher.note_life(statement)
+        if known is not None and _is_heartbeat(known, registration):
+            self._publisher.queue_heartbeat(registration)
             return
         logger.info(
-            "target announced",
+            "target registration changed",
             extra={
-                "target": statement.target,
-                "service": statement.service,
-                "address": statement.address,
-                "state": statement.state.value,
-                "born": statement.born,
-                "sequence": statement.sequence,
+                "target": registration.target,
+                "service": registration.service,
+                "address": registration.address,
+                "state": registration.state.value,
+                "born": registration.born,
+                "sequence": registration.sequence,
             },
         )
-        self._publisher.tell_own((statement,))
+        self._publisher.publish_registrations((registration,))
 
     def take_leave(self, target: TargetId, born: int) -> None:
-        """Take in that a target has left.
+        """Mark a target as gone, and inform the subscribers.
 
-        :param born: start of the life that ended, 0 where it isn't told.
+        :param born: start of the incarnation that ended, 0 if unspecified.
         """
-        left = self._feed.view.leave(target, born, self._clock.monotonic())
-        if left is not None:
-            logger.info("target left", extra={"target": target, "born": left.born})
-            self._publisher.tell_own((left,))
+        gone = self._feed.view.leave(target, born, self._clock.monotonic())
+        if gone is not None:
+            logger.info(
+                "target deregistered", extra={"target": target, "born": gone.born}
+            )
+            self._publisher.publish_registrations((gone,))
 
     # Operators ---------------------------------------------------------------
 
     async def put_routes(self, routes: RouteSet, document: bytes) -> int:
         """Put a route set in force if its version is the highest.
 
-        :param document: the set as it was sent.
+        :param document: the route set as the operator submitted it.
         :returns: the version in force.
         :raises InvalidInput: the set is inconsistent; nothing was changed.
-        :raises Unavailable: whether it was taken is not known, or it was not.
+        :raises Unavailable: the command was not committed, or its outcome is unknown.
         """
         with self._log_command("put_routes", routes.version):
             check_routes(routes)
             if self._replica is not None and routes.version <= self._state.version:
-                # applied here means committed, so a higher one is in force for good
+                # A version applied here is committed, so it is never superseded by
+                # this lower one
                 return self._state.version
-            result = await self._command(PutRoutes(routes, document))
+            result = await self._run_command(PutRoutes(routes, document))
             match result:
                 case RoutesPut(version):
                     return version
-            raise _describe_rejection(result)
+            raise _convert_rejection(result)
 
     async def read_routes(self) -> bytes:
-        """Return the newest accepted set, as it was sent; empty where there is none.
+        """Return the newest accepted route set as submitted; empty if there is none.
 
-        :raises Unavailable: it can't be told which one is the newest.
+        :raises Unavailable: no quorum confirmed which route set is the newest.
         """
-        replica = self._need_replica()
+        replica = self._require_replica()
         try:
-            await self._keep_trying(replica, replica.confirm_read)
+            await self._retry(replica, replica.confirm_read)
         except Unavailable as error:
             raise Unavailable(
                 "no quorum confirmed in time which route set is the newest",
-                "ask another registry",
+                "send the request to another registry",
                 code=ErrorCode.NO_QUORUM,
-                retry_after=QUORUM_WAIT,
+                retry_after=NO_QUORUM_RETRY_AFTER,
             ) from error
         return self._state.document
 
     async def raise_floor(self, key: WeightKey, version: int) -> int:
-        """Let no request begin on an older version, and return the floor in force.
+        """Raise the minimum version on which new requests may start.
 
-        :raises Unavailable: whether it was taken is not known, or it was not.
+        :returns: the minimum version in force.
+        :raises InvalidInput: the version is below 1.
+        :raises Unavailable: the command was not committed, or its outcome is unknown.
         """
         with self._log_command("raise_floor", version, key):
             if version < 1:
-                raise InvalidInput(f"version {version} is none", "name one above zero")
+                raise InvalidInput(
+                    f"version {version} is invalid", "send a version above zero"
+                )
             known = self._state.floors.get(key)
-            held = known.version if known is not None else 0
-            if self._replica is not None and held >= version:
-                return held
-            result = await self._command(RaiseFloor(key, version))
+            current = known.version if known is not None else 0
+            if self._replica is not None and current >= version:
+                return current
+            result = await self._run_command(RaiseFloor(key, version))
             match result:
                 case FloorRaised(floor):
                     return floor
-            raise _describe_rejection(result)
+            raise _convert_rejection(result)
 
     async def take_fence(self, holder: str) -> int:
-        """Return a fencing number above all that were given before.
+        """Allocate a fencing number higher than all earlier ones.
 
-        :raises Unavailable: there is no quorum for it.
+        :raises Unavailable: no quorum answered.
         """
-        result = await self._command(TakeFence(holder))
+        result = await self._run_command(TakeFence(holder))
         match result:
             case FenceTaken(fence):
                 return fence
-        raise _describe_rejection(result)
+        raise _convert_rejection(result)
 
     @contextlib.contextmanager
     def _log_command(
@@ -212,96 +224,105 @@
                     "version": version,
                     "outcome": outcome,
                     "leader": self._replica.leader() if self._replica else None,
-                    "voters_reached": self._count_reached(),
+                    "voters_reached": self._format_reached(),
                     "seconds": round(self._clock.monotonic() - started, 4),
                 },
             )
             self.metrics.count_event(f"{command}_{outcome}")
 
-    def _count_reached(self) -> str | None:
+    def _format_reached(self) -> str | None:
         if self._replica is None:
             return None
         reached, all_voters = self._replica.count_reached()
         return f"{reached} of {all_voters}"
 
-    async def _command(self, command: Command) -> Result:
-        # All commands may be applied twice: versions only rise, and a fencing number
-        # that nobody uses is no loss. So a command whose end isn't known is sent again.
-        replica = self._need_replica()
+    async def _run_command(self, command: Command) -> Result:
+        # Commands may safely be applied twice: versions only rise, and an unused
+        # fencing number does no harm. So a command of unknown outcome is retried.
+        replica = self._require_replica()
         encoded = encode_command(command)
-        result = await self._keep_trying(
+        result = await self._retry(
             replica, lambda: replica.propose(encoded, applied=False)
         )
         return decode_result(result)
 
-    async def _keep_trying(
-        self, replica: Replica, ask: Callable[[], Awaitable[_T]]
+    async def _retry(
+        self, replica: Replica, operation: Callable[[], Awaitable[_T]]
     ) -> _T:
-        """Ask the log until it answers, for as long as a leader is to be expected.
+        """Retry a log operation until it succeeds, while a leader is expected.
 
-        :raises Unavailable: code ``OUTCOME_UNKNOWN`` when the log may have taken what
-            was asked, else ``NO_QUORUM``.
+        :raises Unavailable: the time is up, or no leader is expected. The code is
+            ``OUTCOME_UNKNOWN`` if the log may have accepted the operation, else
+            ``NO_QUORUM``.
         """
-        asking = unknown = False
+        in_progress = outcome_unknown = False
         try:
-            async with asyncio.timeout(COMMAND_TIME):
+            async with asyncio.timeout(COMMAND_TIMEOUT_SECONDS):
                 while True:
-                    asking = True
+                    in_progress = True
                     try:
-                        return await ask()
+                        return await operation()
                     except Unavailable as error:
-                        unknown = unknown or error.code not in _NOT_TAKEN
-                    asking = False
+                        outcome_unknown = (
+                            outcome_unknown or error.code not in _NOT_APPENDED
+                        )
+                    in_progress = False
                     if not replica.expects_leader():
                         break
-                    await asyncio.sleep(RETRY_PAUSE)
+                    await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         except TimeoutError:
-            unknown = unknown or asking
+            outcome_unknown = outcome_unknown or in_progress
         raise Unavailable(
             "no quorum answered in time",
-            "send the same again, to another registry",
-            code=ErrorCode.OUTCOME_UNKNOWN if unknown else ErrorCode.NO_QUORUM,
-            retry_after=QUORUM_WAIT,
+            "resend the same request to another registry",
+            code=ErrorCode.OUTCOME_UNKNOWN if outcome_unknown else ErrorCode.NO_QUORUM,
+            retry_after=NO_QUORUM_RETRY_AFTER,
         )
 
-    def _need_replica(self) -> Replica:
+    def _require_replica(self) -> Replica:
         if self._replica is not None:
             return self._replica
-        keepers = self._feed.list_log_keepers()
-        if not keepers:
+        candidates = self._feed.list_log_keepers()
+        if not candidates:
             raise Unavailable(
-                "no registry with a log is linked",
-                "ask another registry",
+                "no registry with a log replica is connected",
+                "send the request to another registry",
                 code=ErrorCode.NO_QUORUM,
-                retry_after=QUORUM_WAIT,
+                retry_after=NO_QUORUM_RETRY_AFTER,
             )
-        # another one each time: one that stands still keeps its link for a while
-        self._redirects += 1
-        chosen, _ = keepers[self._redirects % len(keepers)]
+        # Redirects rotate, because a hung registry's link stays up for a while
+        self._redirect_count += 1
+        chosen, _ = candidates[self._redirect_count % len(candidates)]
         raise ElsewhereError(chosen.operators)
 
 
-def _repeats(known: Registration, statement: Registration) -> bool:
-    """Return whether nothing has changed that others have to hear of at once.
+def _is_heartbeat(known: Registration, registration: Registration) -> bool:
+    """Return whether a registration changes nothing that must be sent at once.
 
-    Adapters come and go all the time, and stewards report them faster.
+    Changes of adapters are left out: they are frequent, and stewards report them
+    faster.
     """
-    return _strip(known) == _strip(statement)
+    return _strip_volatile(known) == _strip_volatile(registration)
 
 
-def _strip(statement: Registration) -> Registration:
+def _strip_volatile(registration: Registration) -> Registration:
     holdings = tuple(
-        msgspec.structs.replace(holding, adapters=()) for holding in statement.holdings
+        msgspec.structs.replace(holding, adapters=())
+        for holding in registration.holdings
+    )
+    # The countdown of a target that is no longer ready has been published before, so
+    # its progress is not a change
+    remaining = (
+        registration.remaining if registration.state is TargetState.READY else None
     )
-    # a countdown doesn't change what is known, once it has been told
-    counting = statement.remaining if statement.state is TargetState.READY else None
     return msgspec.structs.replace(
-        statement, sequence=0, cold=0.0, remaining=counting, holdings=holdings
+        registration, sequence=0, cold=0.0, remaining=remaining, holdings=holdings
     )
 
 
-def _describe_rejection(result: Result) -> IbisheadError:
+def _convert_rejection(result: Result) -> IbisheadError:
     reason = result.reason if isinstance(result, Rejected) else type(result).__name__
     return IbisheadError(
-        f"the command was not applied: {reason}", "report it with the log of this host"
+        f"the command was not applied: {reason}",
+        "report this error with the log of this host",
     )
--- a/src/ibishead/registry/settings.py
+++ b/src/ibishead/registry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a registry."""
+"""Settings of the registry program."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -13,14 +13,14 @@
 class RegistrySettings:
     """Settings of a registry.
 
-    :param http: where targets and operators call.
-    :param links: where other programs link.
-    :param seeds: HTTP endpoints of the first registries.
+    :param http: endpoint of the HTTP server for targets and operators.
+    :param links: endpoint of the link server for other programs.
+    :param seeds: HTTP endpoints of the registries that are contacted first.
     :param seed_port: port of a registry's link server, the same on all hosts.
-    :param data: folder on a disk that lasts, or none.
-    :param first_start: the whole system starts for the first time.
-    :param losses: hosts with a disk that may be lost together.
-    :param repair_after: seconds of silence after which a voter is replaced.
+    :param data: data folder on a persistent disk; none on a host without one.
+    :param first_start: whether the whole system starts for the first time.
+    :param losses: number of hosts with a disk that may be lost at the same time.
+    :param repair_after: seconds without contact after which a voter is replaced.
     """
 
     host: HostId
--- a/src/ibishead/registry/state.py
+++ b/src/ibishead/registry/state.py
@@ -1,4 +1,8 @@
-"""What the registry's log carries: the route set, adapter floors, fencing numbers."""
+"""The registry's replicated state, and the commands that change it.
+
+The state is the route set, the floors (minimum versions) of adapters, and the fencing
+numbers.
+"""
 
 import logging
 from collections.abc import Callable
@@ -28,53 +32,68 @@
 logger = logging.getLogger(__name__)
 
 
-class _Tagged(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class _LogRecord(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """Base of commands and results."""
 
 
-class PutRoutes(_Tagged, frozen=True):
+class PutRoutes(_LogRecord, frozen=True):
     """Puts a route set in force if its version is the highest.
 
-    :param document: the set as the operator sent it, kept for reading back.
+    :param document: the set as the operator submitted it, stored for reading back.
     """
 
     routes: RouteSet
     document: bytes
 
 
-class RaiseFloor(_Tagged, frozen=True):
-    """Lets no request begin on an older version of an adapter."""
+class RaiseFloor(_LogRecord, frozen=True):
+    """Raises the minimum version of an adapter on which new requests may start."""
 
     key: WeightKey
     version: int
 
 
-class TakeFence(_Tagged, frozen=True):
-    """Asks for a fencing number above all others."""
+class TakeFence(_LogRecord, frozen=True):
+    """Allocates a fencing number higher than all earlier ones.
+
+    :param holder: host that uses the number.
+    """
 
     holder: str
 
 
-class RoutesPut(_Tagged, frozen=True):
-    """Which version is in force now."""
+class RoutesPut(_LogRecord, frozen=True):
+    """Result of `PutRoutes`.
+
+    :param version: version of the route set in force.
+    """
 
     version: int
 
 
-class FloorRaised(_Tagged, frozen=True):
-    """Which version of the adapter is the floor now."""
+class FloorRaised(_LogRecord, frozen=True):
+    """Result of `RaiseFloor`.
+
+    :param version: minimum version of the adapter in force.
+    """
 
     version: int
 
 
-class FenceTaken(_Tagged, frozen=True):
-    """The number."""
+class FenceTaken(_LogRecord, frozen=True):
+    """Result of `TakeFence`.
+
+    :param fence: the fencing number.
+    """
 
     fence: int
 
 
-class Rejected(_Tagged, frozen=True):
-    """The command could not be applied."""
+class Rejected(_LogRecord, frozen=True):
+    """Result of a command that could not be applied.
+
+    :param reason: text of the error.
+    """
 
     reason: str
 
@@ -83,7 +102,7 @@
 Result: TypeAlias = RoutesPut | FloorRaised | FenceTaken | Rejected
 
 
-class _Saved(msgspec.Struct, frozen=True, array_like=True):
+class _SavedState(msgspec.Struct, frozen=True, array_like=True):
     routes: RouteSet | None
     document: bytes
     floors: tuple[AdapterFloor, ...]
@@ -91,13 +110,15 @@
 
 
 class RouteState:
-    """The replicated state; the same log gives the same state everywhere.
+    """The replicated state; applying the same log gives the same state on all replicas.
 
-    :ivar on_change: called after each step that changed routes or floors.
+    :ivar on_change: called after each command that changed routes or floors.
+    :ivar document: the route set in force as submitted; empty if there is none.
+    :ivar applied: log index of the last applied command.
     """
 
     def __init__(self) -> None:
-        self.on_change: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _do_nothing
         self.routes: RouteSet | None = None
         self.document = b""
         self.floors: dict[WeightKey, AdapterFloor] = {}
@@ -105,39 +126,39 @@
 
     @property
     def version(self) -> int:
-        """Version of the route set in force, 0 for none."""
+        """Version of the route set in force, 0 if there is none."""
         return 0 if self.routes is None else self.routes.version
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply one committed command; a bad one is answered, nothing is raised.
+        """Apply a committed command and return its encoded result.
 
-        Failure: a log entry that raises would end every replica at the same place,
-        and again after each restart.
+        An error results in `Rejected` and is not raised: an entry that raised would
+        stop every replica at the same index, and again after each restart.
         """
         self.applied = index
         try:
-            result = self._execute(index, _COMMANDS.decode(unpack(command)))
+            result = self._execute(index, _COMMAND_DECODER.decode(unpack(command)))
         except Exception as error:
-            logger.exception("a log entry can't be applied", extra={"index": index})
+            logger.exception("log entry cannot be applied", extra={"index": index})
             result = Rejected(str(error))
         return msgspec.msgpack.encode(result)
 
     def capture(self) -> bytes:
-        """Return the whole state, for a snapshot."""
+        """Return the encoded state for a snapshot."""
         floors = tuple(self.floors.values())
-        saved = _Saved(self.routes, self.document, floors, self.applied)
+        saved = _SavedState(self.routes, self.document, floors, self.applied)
         return pack(msgspec.msgpack.encode(saved))
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a captured one.
+        """Replace the state with that of a snapshot.
 
-        :raises StorageFault: this is no captured state.
+        :raises StorageFault: the data is not a valid snapshot.
         """
         try:
-            saved = msgspec.msgpack.decode(unpack(data), type=_Saved)
+            saved = msgspec.msgpack.decode(unpack(data), type=_SavedState)
         except (msgspec.DecodeError, InvalidInput) as error:
             raise StorageFault(
-                f"the snapshot can't be read: {error}",
+                f"the snapshot cannot be decoded: {error}",
                 "run the version of ibishead that wrote it, or empty this data folder",
             ) from error
         self.routes = saved.routes
@@ -147,7 +168,7 @@
         self.on_change()
 
     def list_floors(self, index: int) -> tuple[AdapterFloor, ...]:
-        """Return the floors that were raised behind a position of the log."""
+        """Return the floors that were raised after a log index."""
         return tuple(f for f in self.floors.values() if f.index > index)
 
     def _execute(self, index: int, command: Command) -> Result:
@@ -164,23 +185,23 @@
                     self.on_change()
                 return FloorRaised(self.floors[key].version)
             case TakeFence():
-                # the position in the log rises with every command, over all restarts
+                # The log index rises with every command, also across restarts
                 return FenceTaken(index)
 
 
-_COMMANDS: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
-_RESULTS: msgspec.msgpack.Decoder[Result] = msgspec.msgpack.Decoder(Result)
+_COMMAND_DECODER: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
+_RESULT_DECODER: msgspec.msgpack.Decoder[Result] = msgspec.msgpack.Decoder(Result)
 
 
 def encode_command(command: Command) -> bytes:
-    """Return a command as the log carries it."""
+    """Return a command as it is stored in the log."""
     return pack(msgspec.msgpack.encode(command))
 
 
 def decode_result(data: bytes) -> Result:
-    """Return the result of an applied command."""
-    return _RESULTS.decode(data)
+    """Decode the result that `RouteState.apply` returned."""
+    return _RESULT_DECODER.decode(data)
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     pass
--- a/src/ibishead/routing/__init__.py
+++ b/src/ibishead/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routes, targets and adapter versions: what all programs share."""
+"""Routes, targets and adapter versions, as shared by all programs."""
--- a/src/ibishead/routing/changes.py
+++ b/src/ibishead/routing/changes.py
@@ -1,7 +1,8 @@
-"""The difference between two route sets, for receivers that hold the older one.
+"""Differences between route sets, for receivers that have an older one.
 
-A large document changes by a few routes at a time, and every program of the system
-takes each change. What is sent so grows with the change and not with the document.
+A large route set changes by a few routes at a time, and every program receives each
+change. Sending differences makes the traffic proportional to the change, not to the
+size of the set.
 """
 
 import zlib
@@ -16,35 +17,38 @@
     "RouteChange",
     "RouteHistory",
     "apply_change",
-    "find_change",
+    "compute_change",
     "pack",
     "unpack",
 ]
 
-#: Route sets that are kept, so that a receiver which is a few versions behind gets a
-#: difference.
+#: Number of recent route sets kept, so that a receiver that is a few versions behind
+#: gets a difference.
 KEPT_SETS = 4
 
-#: Bytes from which data is compressed.
-PACKED_FROM = 1024
+#: Size from which data is compressed.
+PACK_MIN_BYTES = 1024
 
-#: Level of zlib, the quickest; names of routes are random, and more gains little.
-PACK_LEVEL = 1
+#: The fastest compression level. Route names are random, so higher levels save little.
+ZLIB_LEVEL = 1
 
-#: Largest data that is unpacked, in bytes.
-MAX_UNPACKED = 64 * 1024 * 1024
+#: Maximum size of decompressed data.
+MAX_UNPACKED_BYTES = 64 * 1024 * 1024
 
-#: First byte of zlib's format. No array of msgpack begins with it.
-_ZLIB_MARK = 0x78
+#: First byte of the zlib format. No msgpack array begins with it.
+_ZLIB_FIRST_BYTE = 0x78
 
 
 class RouteChange(msgspec.Struct, frozen=True, array_like=True):
-    """What turns one route set into a later one.
+    """The difference between a route set and a later one.
 
     :param base: version of the set that it applies to.
-    :param version: of the set that results.
-    :param removed: host name and path prefix of each route that is no longer there.
-    :param routes: routes that are new, or differ from those at the same place.
+    :param version: version of the resulting set.
+    :param removed: host name and path prefix of each removed route.
+    :param routes: routes that are new, or replace those of the same host name and
+        prefix.
+    :param services: all services of the resulting set.
+    :param limits: limits of the resulting set.
     """
 
     base: int
@@ -55,32 +59,32 @@
     limits: CallerLimits
 
 
-def find_change(base: RouteSet, wanted: RouteSet) -> RouteChange:
-    """Return what turns one set into another."""
-    before, after = _index(base), _index(wanted)
+def compute_change(base: RouteSet, result: RouteSet) -> RouteChange:
+    """Return the change that turns one route set into another."""
+    before, after = _index(base), _index(result)
     return RouteChange(
         base.version,
-        wanted.version,
-        tuple(place for place in before if place not in after),
-        tuple(route for place, route in after.items() if before.get(place) != route),
-        wanted.services,
-        wanted.limits,
+        result.version,
+        tuple(key for key in before if key not in after),
+        tuple(route for key, route in after.items() if before.get(key) != route),
+        result.services,
+        result.limits,
     )
 
 
 def apply_change(base: RouteSet, change: RouteChange) -> RouteSet:
-    """Return the set that a change leads to.
+    """Return the route set that results from a change.
 
-    :raises InvalidInput: the change belongs to another set.
+    :raises InvalidInput: the change applies to another version.
     """
     if change.base != base.version:
         raise InvalidInput(
-            f"a change of version {change.base} doesn't fit version {base.version}",
-            "ask for the whole route set",
+            f"a change to version {change.base} does not apply to {base.version}",
+            "request the whole route set",
         )
     routes = _index(base)
-    for place in change.removed:
-        routes.pop(place, None)
+    for key in change.removed:
+        routes.pop(key, None)
     routes.update({(route.hostname, route.prefix): route for route in change.routes})
     return RouteSet(
         change.version, tuple(routes.values()), change.services, change.limits
@@ -88,14 +92,14 @@
 
 
 class RouteHistory:
-    """The last route sets that were in force, and what receivers are sent of them."""
+    """The most recent route sets, and the newest one encoded for each base version."""
 
     def __init__(self) -> None:
         self._sets: OrderedDict[int, RouteSet] = OrderedDict()
         self._encoded: dict[int, bytes] = {}
 
     def add(self, routes: RouteSet) -> None:
-        """Take in the set that is in force now."""
+        """Add the route set that is now in force, and discard the oldest if needed."""
         if routes.version in self._sets:
             return
         self._sets[routes.version] = routes
@@ -104,46 +108,47 @@
             self._sets.popitem(last=False)
 
     def encode(self, held: int) -> tuple[int, bytes]:
-        """Return the newest set for a receiver: the base of the change, and its bytes.
+        """Return the newest route set, encoded for a receiver.
 
         :param held: version that the receiver has, 0 for none.
-        :returns: base 0 with the whole set, where the version held isn't kept here.
+        :returns: the base version and the encoded change to it; base 0 and the encoded
+            whole set if the version held is not in the history.
         """
         newest = next(reversed(self._sets.values()))
         base = self._sets.get(held)
-        number = 0 if base is None else held
-        if number not in self._encoded:
-            content = newest if base is None else find_change(base, newest)
-            self._encoded[number] = pack(msgspec.msgpack.encode(content))
-        return number, self._encoded[number]
+        base_version = 0 if base is None else held
+        if base_version not in self._encoded:
+            content = newest if base is None else compute_change(base, newest)
+            self._encoded[base_version] = pack(msgspec.msgpack.encode(content))
+        return base_version, self._encoded[base_version]
 
 
 def pack(data: bytes) -> bytes:
-    """Return data compressed, or as it is where it is short."""
-    return data if len(data) < PACKED_FROM else zlib.compress(data, PACK_LEVEL)
+    """Return data compressed, or unchanged if it is shorter than `PACK_MIN_BYTES`."""
+    return data if len(data) < PACK_MIN_BYTES else zlib.compress(data, ZLIB_LEVEL)
 
 
 def unpack(data: bytes) -> bytes:
-    """Return what `pack` was given; data that was never packed comes back as it is.
+    """Reverse `pack`; data that is not compressed is returned unchanged.
 
-    :raises InvalidInput: the data is damaged, or larger than any route set.
+    :raises InvalidInput: the compressed data is damaged, truncated or too large.
     """
-    if not data or data[0] != _ZLIB_MARK:
+    if not data or data[0] != _ZLIB_FIRST_BYTE:
         return data
-    reader = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        whole = reader.decompress(data, MAX_UNPACKED)
+        unpacked = decompressor.decompress(data, MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise InvalidInput(
-            f"packed data can't be read: {error}",
+            f"compressed data cannot be read: {error}",
             "run the same version of ibishead on both ends",
         ) from error
-    if not reader.eof:
+    if not decompressor.eof:
         raise InvalidInput(
-            f"packed data is cut off or exceeds {MAX_UNPACKED} bytes",
+            f"compressed data is truncated or exceeds {MAX_UNPACKED_BYTES} bytes",
             "run the same version of ibishead on both ends",
         )
-    return whole
+    return unpacked
 
 
 def _index(routes: RouteSet) -> dict[tuple[str, str], Route]:
--- a/src/ibishead/routing/feed.py
+++ b/src/ibishead/routing/feed.py
@@ -1,7 +1,8 @@
-"""A host's link to every registry, and what it learns there.
+"""The links of a program to all registries, and the state received over them.
 
-Targets and members are soft state: any registry may tell of them, also one that is cut
-off from the others. Route sets and floors come from the replicated log and only rise.
+Targets and members are soft state: any registry may send them, also one that is
+partitioned from the others. Route sets and floors come from the replicated log, and
+their versions only rise.
 """
 
 import asyncio
@@ -36,33 +37,36 @@
 
 logger = logging.getLogger(__name__)
 
-#: Heartbeats of a link to a registry. A link that has gone silent must be replaced
-#: soon: what is in force elsewhere isn't known over it.
+#: Heartbeat settings of a link to a registry. A silent link must be replaced soon,
+#: because it delivers no updates of what is in force elsewhere.
 FEED_PACE = Pace(interval=0.9, silence=2.4, mutual=True)
 
-#: Seconds between two tries to reach a registry, at first and at most.
+#: Initial and maximum delay between two attempts to reach a registry.
 REDIAL_FIRST = 0.1
 REDIAL_MOST = 0.3
 
-#: Seconds after which a registry that is no seed and can't be reached is forgotten.
+#: Time after which an unreachable registry that is not a seed is no longer dialled.
 FORGET_AFTER = 120.0
 
-#: Seconds until a route set that was asked for is asked for elsewhere.
-ROUTES_WAIT = 0.5
+#: Time after which an unanswered request for routes is sent to another registry.
+ROUTES_TIMEOUT_SECONDS = 0.5
 
-#: Seconds of silence after which a target that never left is forgotten.
-SILENCE_KEPT = 45.0
+#: Time without a registration or heartbeat after which a ready target is removed.
+TARGET_TIMEOUT_SECONDS = 45.0
 
 
 class RegistryFeed:
-    """Keeps links to all registries, and one view of what they tell.
+    """Maintains links to all registries, and one merged view of what they send.
 
-    :param member: what this program tells of itself.
-    :param seeds: link endpoints of the first registries.
+    :param member: the record by which this program announces itself.
+    :param seeds: link endpoints of the registries that are dialled first.
     :param on_routes: called with each route set that comes into force here.
-    :param on_statements: called with statements that were news.
-    :param on_members: called with programs that a registry has made known.
-    :param on_message: called with any other message of a registry.
+    :param on_statements: called with registrations that changed the view.
+    :param on_members: called with new or changed members received from a registry.
+    :param on_message: called with any other message from a registry.
+    :ivar members: the known programs. A host may run one program of each kind.
+    :ivar floors: the minimum version in force for each adapter.
+    :ivar floor_heard: when each floor was received, in monotonic seconds.
     """
 
     def __init__(
@@ -80,9 +84,8 @@
         self.member = member
         self.view = TargetView()
         self.routes: RouteSet | None = None
-        #: Set once there are routes.
+        #: Set once a route set is in force.
         self.routes_known = asyncio.Event()
-        #: One host may run a program of each kind.
         self.members: dict[tuple[HostId, MemberKind], MemberRecord] = {
             (member.host, member.kind): member
         }
@@ -91,91 +94,97 @@
         self.links: dict[Endpoint, Link] = {}
         self._floor_index = 0
         self._clock = clock
-        self._on_routes = on_routes or _ignore
-        self._on_statements = on_statements or _ignore
-        self._on_members = on_members or _ignore
-        self._on_message = on_message or _ignore_message
+        self._on_routes = on_routes or _discard
+        self._on_statements = on_statements or _discard
+        self._on_members = on_members or _discard
+        self._on_message = on_message or _discard_message
         self._dial = dialer
         self._seeds = seeds
         self._own = Endpoint(member.address, member.port)
-        self._keepers: dict[Endpoint, asyncio.Task[None]] = {}
-        self._noticed: dict[Endpoint, int] = {}
-        self._asked_at = -ROUTES_WAIT
-        #: Version to ask a change of; 0 after one that couldn't be applied.
-        self._base = 0
+        self._link_tasks: dict[Endpoint, asyncio.Task[None]] = {}
+        self._offered_versions: dict[Endpoint, int] = {}
+        self._requested_at = -ROUTES_TIMEOUT_SECONDS
+        #: Version sent with requests for routes, so that the answer can be a change
+        #: to it; 0 requests the whole set, also after a change that failed to apply.
+        self._held_version = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def version(self) -> int:
-        """Version of the route set in force here, 0 for none."""
+        """Version of the route set in force here, 0 if there is none."""
         return 0 if self.routes is None else self.routes.version
 
     def start(self) -> None:
-        """Begin to dial."""
+        """Start dialling the seeds."""
         self.reseed(self._seeds)
         self._tasks.append(asyncio.create_task(self._run()))
 
     async def stop(self) -> None:
         """Close all links."""
-        tasks = [*self._tasks, *self._keepers.values()]
+        tasks = [*self._tasks, *self._link_tasks.values()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def reseed(self, seeds: tuple[Endpoint, ...]) -> None:
-        """Dial these registries too."""
+        """Replace the seeds, and dial those that are new.
+
+        Links to the previous seeds remain as long as these can be reached.
+        """
         self._seeds = seeds
         for endpoint in seeds:
-            self._keep(endpoint)
+            self._ensure_link(endpoint)
 
     def list_members(self, kind: MemberKind) -> list[MemberRecord]:
         """Return the known programs of one kind."""
-        return [found for found in self.members.values() if found.kind is kind]
+        return [member for member in self.members.values() if member.kind is kind]
 
     def list_log_keepers(self) -> list[tuple[MemberRecord, Link]]:
-        """Return the registries that keep the log, each with its link that is up.
+        """Return the connected registries that have a log replica, with their links.
 
-        Those that haven't been heard of lately are left out, unless all are such.
+        Registries whose links are overdue are left out, unless all of them are.
         """
         linked = (
-            (found, self.links.get(Endpoint(found.address, found.port)))
-            for found in self.list_members(MemberKind.REGISTRY)
-            if found.replica
+            (member, self.links.get(Endpoint(member.address, member.port)))
+            for member in self.list_members(MemberKind.REGISTRY)
+            if member.replica
         )
-        keepers = [(found, link) for found, link in linked if link and not link.closed]
-        return [k for k in keepers if not k[1].overdue] or keepers
+        candidates = [
+            (member, link) for member, link in linked if link and not link.closed
+        ]
+        return [c for c in candidates if not c[1].overdue] or candidates
 
     def meet(self, members: tuple[MemberRecord, ...]) -> list[MemberRecord]:
-        """Take members in, and return those that are news."""
+        """Merge members, and return those that are new or changed."""
         own = (self.member.host, self.member.kind)
         fresh = []
-        for found in members:
-            place = (found.host, found.kind)
-            if place == own or self.members.get(place) == found:
+        for member in members:
+            key = (member.host, member.kind)
+            if key == own or self.members.get(key) == member:
                 continue
-            fresh.append(found)
-            self.members[place] = found
-            if found.kind is MemberKind.REGISTRY:
-                self._keep(Endpoint(found.address, found.port))
+            fresh.append(member)
+            self.members[key] = member
+            if member.kind is MemberKind.REGISTRY:
+                self._ensure_link(Endpoint(member.address, member.port))
         return fresh
 
     def find_service(self, name: ServiceName) -> ServiceSpec | None:
-        """Return a service as it is in force here, none where it isn't."""
+        """Return a service of the route set in force here, or none."""
         return None if self.routes is None else self.routes.service(name)
 
     def tell(self, message: Message) -> None:
-        """Send to every registry that is linked."""
+        """Send a message to every connected registry."""
         for link in self.links.values():
             link.send(message)
 
-    def _keep(self, endpoint: Endpoint) -> None:
-        if endpoint == self._own or endpoint in self._keepers:
+    def _ensure_link(self, endpoint: Endpoint) -> None:
+        if endpoint == self._own or endpoint in self._link_tasks:
             return
-        self._keepers[endpoint] = asyncio.create_task(self._hold(endpoint))
+        self._link_tasks[endpoint] = asyncio.create_task(self._maintain_link(endpoint))
 
-    async def _hold(self, endpoint: Endpoint) -> None:
-        wait = REDIAL_FIRST
-        reached = self._clock.monotonic()
+    async def _maintain_link(self, endpoint: Endpoint) -> None:
+        delay = REDIAL_FIRST
+        reached_at = self._clock.monotonic()
         while True:
             try:
                 link = await self._dial(
@@ -186,118 +195,123 @@
                     None,
                 )
             except LinkLost as error:
-                logger.debug("registry not reached", extra={"reason": error.message})
+                logger.debug(
+                    "registry cannot be reached", extra={"reason": error.message}
+                )
             else:
-                wait = REDIAL_FIRST
-                await self._listen(endpoint, link)
-                reached = self._clock.monotonic()
+                delay = REDIAL_FIRST
+                await self._receive(endpoint, link)
+                reached_at = self._clock.monotonic()
             if (
                 endpoint not in self._seeds
-                and self._clock.monotonic() - reached > FORGET_AFTER
+                and self._clock.monotonic() - reached_at > FORGET_AFTER
             ):
-                del self._keepers[endpoint]
+                del self._link_tasks[endpoint]
                 return
-            await asyncio.sleep(wait)
-            wait = min(2 * wait, REDIAL_MOST)
+            await asyncio.sleep(delay)
+            delay = min(2 * delay, REDIAL_MOST)
 
-    async def _listen(self, endpoint: Endpoint, link: Link) -> None:
-        logger.info("registry linked", extra={"peer": link.peer.host})
+    async def _receive(self, endpoint: Endpoint, link: Link) -> None:
+        logger.info("registry connected", extra={"peer": link.peer.host})
         self.links[endpoint] = link
         link.send(SubscribeFeed(self.member, self._floor_index))
         try:
             async for message in link.receive():
-                self._take(endpoint, link, message)
+                self._handle_message(endpoint, link, message)
         finally:
             del self.links[endpoint]
-            self._noticed.pop(endpoint, None)
+            self._offered_versions.pop(endpoint, None)
             link.end()
-            logger.info("registry lost", extra={"peer": link.peer.host})
+            logger.info("registry disconnected", extra={"peer": link.peer.host})
 
-    def _take(self, endpoint: Endpoint, link: Link, message: Message) -> None:
+    def _handle_message(self, endpoint: Endpoint, link: Link, message: Message) -> None:
         now = self._clock.monotonic()
         match message:
             case Members(members):
                 if fresh := self.meet(members):
                     self._on_members(fresh)
             case Statements(registrations):
-                news = tuple(r for r in registrations if self.view.merge(r, now))
-                if news:
-                    self._on_statements(news)
+                changed = tuple(r for r in registrations if self.view.merge(r, now))
+                if changed:
+                    self._on_statements(changed)
             case SignsOfLife(targets):
                 for target, born, sequence in targets:
                     self.view.hear(target, born, sequence, now)
             case RouteNotice(version):
-                self._noticed[endpoint] = version
-                self._ask_routes(now)
+                self._offered_versions[endpoint] = version
+                self._request_routes(now)
             case RoutesAnswer():
-                self._take_routes(message)
+                self._handle_routes(message)
             case Floors(floors, index):
-                self._raise(floors, index, now)
+                self._raise_floors(floors, index, now)
             case _:
                 self._on_message(link, message)
 
-    def _ask_routes(self, now: float) -> None:
-        # One registry is asked at a time: a whole set is long, and all have the same
-        if now - self._asked_at < ROUTES_WAIT:
+    def _request_routes(self, now: float) -> None:
+        # Only one registry is asked at a time: a whole set is large, and all
+        # registries have the same one
+        if now - self._requested_at < ROUTES_TIMEOUT_SECONDS:
             return
-        ahead = {
+        newer = {
             endpoint: version
-            for endpoint, version in self._noticed.items()
+            for endpoint, version in self._offered_versions.items()
             if version > self.version and endpoint in self.links
         }
-        if not ahead:
+        if not newer:
             return
-        newest = max(ahead.values())
-        holders = [endpoint for endpoint, found in ahead.items() if found == newest]
-        near = [endpoint for endpoint in holders if self._is_near(endpoint)]
-        holders = near or holders
-        self._asked_at = now
+        newest = max(newer.values())
+        holders = [endpoint for endpoint, found in newer.items() if found == newest]
+        local = [endpoint for endpoint in holders if self._is_in_own_domain(endpoint)]
+        holders = local or holders
+        self._requested_at = now
         chosen = holders[int(now * 1000) % len(holders)]
-        self.links[chosen].send(AskRoutes(self._base))
+        self.links[chosen].send(AskRoutes(self._held_version))
 
-    def _is_near(self, endpoint: Endpoint) -> bool:
+    def _is_in_own_domain(self, endpoint: Endpoint) -> bool:
         """Return whether a registry is in this host's failure domain."""
         return any(
-            found.kind is MemberKind.REGISTRY
-            and found.domain == self.member.domain
-            and (found.address, found.port) == (endpoint.address, endpoint.port)
-            for found in self.members.values()
+            member.kind is MemberKind.REGISTRY
+            and member.domain == self.member.domain
+            and (member.address, member.port) == (endpoint.address, endpoint.port)
+            for member in self.members.values()
         )
 
-    def _take_routes(self, answer: RoutesAnswer) -> None:
+    def _handle_routes(self, answer: RoutesAnswer) -> None:
         stale = answer.base not in (0, self.version)
         if answer.version > self.version and not stale:
             try:
-                self.routes = self._read_routes(answer)
+                self.routes = self._decode_routes(answer)
             except (IbisheadError, msgspec.DecodeError) as error:
                 logger.warning(
-                    "routes not read",
+                    "route set cannot be read; requesting it whole",
                     extra={"version": answer.version, "reason": str(error)},
                 )
-                self._base = 0
+                self._held_version = 0
                 return
-            self._base = self.version
+            self._held_version = self.version
             self.routes_known.set()
             logger.info("routes in force", extra={"version": answer.version})
             self._on_routes(self.routes)
-        self._asked_at = -ROUTES_WAIT
-        self._ask_routes(self._clock.monotonic())
+        self._requested_at = -ROUTES_TIMEOUT_SECONDS
+        self._request_routes(self._clock.monotonic())
 
-    def _read_routes(self, answer: RoutesAnswer) -> RouteSet:
+    def _decode_routes(self, answer: RoutesAnswer) -> RouteSet:
         data = unpack(answer.encoded)
         if self.routes is None or not answer.base:
             return msgspec.msgpack.decode(data, type=RouteSet)
         change = msgspec.msgpack.decode(data, type=RouteChange)
         return apply_change(self.routes, change)
 
-    def _raise(self, floors: tuple[AdapterFloor, ...], index: int, now: float) -> None:
+    def _raise_floors(
+        self, floors: tuple[AdapterFloor, ...], index: int, now: float
+    ) -> None:
         for floor in floors:
             known = self.floors.get(floor.key)
             if known is None or floor.version > known.version:
                 self.floors[floor.key] = floor
                 self.floor_heard[floor.key] = now
                 logger.info(
-                    "adapter version in force",
+                    "minimum adapter version in force",
                     extra={
                         "model": floor.key.model,
                         "adapter": floor.key.adapter,
@@ -308,12 +322,13 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(ROUTES_WAIT / 2)
+            await asyncio.sleep(ROUTES_TIMEOUT_SECONDS / 2)
             now = self._clock.monotonic()
-            self._ask_routes(now)
-            # While no registry is linked, silence says nothing about the targets
+            self._request_routes(now)
+            # Without a link to a registry no heartbeats arrive, so missing ones say
+            # nothing about the targets
             if self.links:
-                self.view.forget(now, SILENCE_KEPT)
+                self.view.forget(now, TARGET_TIMEOUT_SECONDS)
 
 
 _ROLES = {
@@ -323,9 +338,9 @@
 }
 
 
-def _ignore(_: object) -> None:
+def _discard(_: object) -> None:
     pass
 
 
-def _ignore_message(_: Link, __: Message) -> None:
+def _discard_message(_: Link, __: Message) -> None:
     pass
--- a/src/ibishead/routing/messages.py
+++ b/src/ibishead/routing/messages.py
@@ -1,6 +1,6 @@
-"""Messages between gateways, stewards and the registry.
+"""Messages between gateways, stewards and registries.
 
-They travel as those of `ibishead.messages` do: CBOR arrays, tag first.
+They are encoded like those of `ibishead.messages`: as CBOR arrays, tag first.
 """
 
 from enum import Enum
@@ -38,11 +38,11 @@
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all messages: immutable, compared by value."""
+    """Base class of all messages: immutable and compared by value."""
 
 
 class MemberKind(Enum):
-    """Which program a member of the system is."""
+    """Kind of program that a member of the system is."""
 
     GATEWAY = "gateway"
     STEWARD = "steward"
@@ -52,11 +52,11 @@
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
     """A program of the system, as it describes itself.
 
-    :param address: IP number where its link server listens.
-    :param port: 0 where it has none.
-    :param operators: ``ADDRESS:PORT`` of a registry's own HTTP server.
-    :param replica: identity of the log replica on its disk, empty without a disk.
-    :param target: ``ADDRESS:PORT`` of the engine beside a steward.
+    :param address: IP address of its link server.
+    :param port: port of its link server, 0 if it has none.
+    :param operators: ``ADDRESS:PORT`` of a registry's HTTP server.
+    :param replica: identity of the log replica on its disk; empty without a disk.
+    :param target: ``ADDRESS:PORT`` of the engine that a steward manages.
     """
 
     host: HostId
@@ -70,9 +70,9 @@
 
 
 class SubscribeFeed(_Message, frozen=True):
-    """First message to a registry: who subscribes, and what it knows already.
+    """First message to a registry: the subscriber, and the state it already has.
 
-    :param floors: index of the last floor of an adapter version that it has.
+    :param floors: log index of the last floor that it has received.
     """
 
     member: MemberRecord
@@ -80,43 +80,47 @@
 
 
 class Members(_Message, frozen=True):
-    """Programs that the registry knows of and hasn't told over this link yet."""
+    """Members that the registry has not yet sent over this link, new or changed."""
 
     members: tuple[MemberRecord, ...]
 
 
 class Statements(_Message, frozen=True):
-    """Statements of targets that changed something."""
+    """Registrations of targets that changed something."""
 
     registrations: tuple[Registration, ...]
 
 
 class SignsOfLife(_Message, frozen=True):
-    """Targets that repeated their last statement: name, start and sequence."""
+    """Heartbeats of targets that repeated their last registration.
+
+    :param targets: name, start (`Registration.born`) and sequence number of each.
+    """
 
     targets: tuple[tuple[TargetId, int, int], ...]
 
 
 class RouteNotice(_Message, frozen=True):
-    """The version of the route set in force at the sender."""
+    """Announces the version of the route set in force at the sender."""
 
     version: int
 
 
 class AskRoutes(_Message, frozen=True):
-    """Asks for the route set in force.
+    """Requests the route set in force, whole or as a change.
 
-    :param held: version that the sender has, 0 for none.
+    :param held: version that the sender has, 0 to request the whole set.
     """
 
     held: int = 0
 
 
 class RoutesAnswer(_Message, frozen=True):
-    """The route set in force, or what has changed since an older one.
+    """The route set in force, or the change to it from an older one.
 
-    :param encoded: packed msgpack of `ibishead.routing.routes.RouteSet`, or of
-        `ibishead.routing.changes.RouteChange` where there is a base.
+    :param encoded: msgpack of a `ibishead.routing.routes.RouteSet`, or of a
+        `ibishead.routing.changes.RouteChange` if there is a base; compressed by
+        `ibishead.routing.changes.pack`.
     :param base: version that the change applies to, 0 for a whole set.
     """
 
@@ -126,7 +130,10 @@
 
 
 class AdapterFloor(msgspec.Struct, frozen=True, array_like=True):
-    """The oldest version of an adapter that a request may begin on."""
+    """The minimum version of an adapter on which new requests may start.
+
+    :param index: log index at which the floor was raised.
+    """
 
     key: WeightKey
     version: int
@@ -134,35 +141,43 @@
 
 
 class Floors(_Message, frozen=True):
-    """Floors that were raised, up to a position of the log."""
+    """Floors that were raised, up to a log index."""
 
     floors: tuple[AdapterFloor, ...]
     index: int
 
 
 class AskFence(_Message, frozen=True):
-    """Asks for a fencing number above all that were given before."""
+    """Requests a fencing number higher than all earlier ones.
+
+    :param number: identifies the request; the answer repeats it.
+    """
 
     number: int
 
 
 class FenceAnswer(_Message, frozen=True):
-    """A fencing number; 0 where none could be had."""
+    """Answer to `AskFence`.
+
+    :param fence: the fencing number, 0 if none could be allocated.
+    """
 
     number: int
     fence: int
 
 
 class AskTurn(_Message, frozen=True):
-    """Asks a steward when a request may be sent to its engine.
+    """Asks a steward for permission to send a request to its engine.
 
-    That is when the adapter is in place and the engine can take the prompt.
+    The steward grants it once the adapter is loaded and the engine can accept the
+    prompt.
 
+    :param number: identifies the request; the answers repeat it.
     :param key: the adapter, or the model alone.
-    :param version: the oldest that the request may begin on.
+    :param version: minimum version on which the request may start.
     :param wait: seconds that the request can still wait.
     :param tokens: length of the prompt.
-    :param due: seconds until its answer should begin, below 0 if it is late.
+    :param due: seconds until its answer should begin, negative if it is late.
     """
 
     number: int
@@ -174,30 +189,38 @@
 
 
 class TurnNoted(_Message, frozen=True):
-    """The request has to wait; `TurnAnswer` follows."""
+    """The request of an `AskTurn` is queued; a `TurnAnswer` follows."""
 
     number: int
 
 
 class TurnAnswer(_Message, frozen=True):
-    """Whether the request may be sent now; if so, its adapter is in use."""
+    """Answer to `AskTurn`.
+
+    :param given: whether the request may be sent now. If so, its adapter is in use
+        until `EndUse`.
+    """
 
     number: int
     given: bool
 
 
 class BeginUse(_Message, frozen=True):
-    """A request is being sent to the engine without having asked for a turn."""
+    """A request is being sent to the engine without an `AskTurn` before it.
+
+    :param tokens: length of the prompt.
+    """
 
     key: WeightKey
     tokens: int = 0
 
 
 class EndUse(_Message, frozen=True):
-    """A request that `BeginUse` or a given turn began is over.
+    """A request that began with `BeginUse` or a granted `AskTurn` has ended.
 
-    :param pause: seconds of the longest pause in its answer; 0 where it had none.
-    :param failed: the engine failed; none where the request ended for other reasons.
+    :param pause: longest pause in its answer in seconds, 0 if there was none.
+    :param failed: whether the engine failed; none if the request ended for a reason
+        that says nothing about the engine.
     """
 
     key: WeightKey
@@ -206,16 +229,19 @@
 
 
 class FailuresTold(_Message, frozen=True):
-    """The share of failures among an engine's last answers, to all gateways."""
+    """Failure rate of an engine, sent by its steward to all gateways.
+
+    :param share: share of failures among its last answers, 0 to 1.
+    """
 
     target: TargetId
     share: float
 
 
 class RateTold(_Message, frozen=True):
-    """What an engine's answer names as its limit.
+    """The rate limit that an engine stated in an answer.
 
-    :param rate: requests a second from all gateways together; none for no limit.
+    :param rate: requests per second from all gateways together; none for no limit.
     """
 
     target: TargetId
@@ -223,10 +249,10 @@
 
 
 class PromptRead(_Message, frozen=True):
-    """An engine has read a prompt that it was sent.
+    """An engine has processed the prompt of a request.
 
     :param tokens: length of the prompt.
-    :param seconds: from the send to the first event; 0 where none came.
+    :param seconds: time from the send to the first event, 0 if there was no event.
     """
 
     tokens: int
@@ -234,22 +260,26 @@
 
 
 class PromptDelay(_Message, frozen=True):
-    """How long a prompt that comes now would wait for its turn, in seconds."""
+    """Expected queueing delay of a prompt that arrives at an engine's steward now."""
 
     target: TargetId
     seconds: float
 
 
 class EngineReport(_Message, frozen=True):
-    """What the steward read from its engine.
-
-    :param born: start of the engine's life, milliseconds since 1970.
-    :param coming: adapters on their way to the engine.
-    :param cache_used: tokens in use that can't yield.
-    :param free_slots: adapter slots that are empty or hold what nobody uses.
-    :param wished: adapters that are waited for and not on their way yet.
-    :param read_rate: prompt tokens that the engine reads in a second, 0 if not known.
-    :param model_wait: seconds until it holds a model, where it holds none.
+    """State of an engine as its steward observed it.
+
+    :param born: start of the engine, in milliseconds since 1970.
+    :param holdings: the loaded models and adapters.
+    :param coming: adapters that are being loaded.
+    :param running: requests in the engine's batch.
+    :param queued: requests in the engine's queue.
+    :param cache_used: tokens in the key-value cache that cannot be evicted.
+    :param cache_total: capacity of the key-value cache in tokens.
+    :param free_slots: adapter slots that are empty or hold an adapter not in use.
+    :param wished: adapters that requests wait for and whose load has not started.
+    :param read_rate: prompt tokens that the engine processes per second, 0 if unknown.
+    :param model_wait: seconds until a model is loaded, for an engine that has none.
     """
 
     target: TargetId
--- a/src/ibishead/routing/routes.py
+++ b/src/ibishead/routing/routes.py
@@ -1,6 +1,7 @@
-"""Routes from a host name and a path to a service, as one versioned whole.
+"""Routes from host names and path prefixes to services.
 
-A `RouteSet` replaces the one before it at once; nothing of two sets is ever mixed.
+Routes and services are versioned together as a `RouteSet`, which replaces the previous
+one atomically; parts of two sets are never combined.
 """
 
 from enum import Enum
@@ -27,7 +28,7 @@
 
 
 class Repeatability(Enum):
-    """How often a request may run, and in which form it is answered."""
+    """Whether a request may run more than once, and whether its answer is streamed."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -35,9 +36,9 @@
 
 
 class Share(msgspec.Struct, frozen=True, array_like=True):
-    """The part of a route's requests that goes to one service.
+    """The share of a route's requests that goes to one service.
 
-    :param weight: against the sum of all weights of the route.
+    :param weight: relative to the sum of all weights of the route.
     """
 
     service: ServiceName
@@ -45,15 +46,17 @@
 
 
 class Route(msgspec.Struct, frozen=True, array_like=True):
-    """Where requests for a host name and a path prefix go.
-
-    :param prefix: begins and ends with a slash.
-    :param timeout: seconds that a request may be kept waiting.
-    :param objective: seconds to the answer, or to its first event, for full worth.
-    :param gap_objective: seconds between two events, 0 where none is set.
-    :param attempts: targets that one request may be sent to.
-    :param rank: 0 is the most urgent.
-    :param resumable: a stream may go on at another target behind its last event.
+    """Routes requests for a host name and a path prefix to services.
+
+    :param prefix: path prefix; begins and ends with a slash.
+    :param timeout: maximum seconds from a request's arrival to its deadline.
+    :param objective: latency objective: seconds within which the answer, or its first
+        event, has its full value.
+    :param attempts: maximum number of targets that one request is sent to.
+    :param rank: priority; 0 is the most urgent.
+    :param resumable: whether a stream may be resumed at another target after the last
+        event received.
+    :param gap_objective: objective for the seconds between two events, 0 for none.
     """
 
     name: str
@@ -70,7 +73,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run again after a run that nobody knows the end of."""
+        """Whether a request may run again if the outcome of a run is unknown."""
         match self.kind:
             case Repeatability.IDEMPOTENT:
                 return True
@@ -81,13 +84,13 @@
 
 
 class ModelSpec(msgspec.Struct, frozen=True, array_like=True):
-    """A base model that engines of a service may hold.
+    """A base model that the engines of a service may load.
 
-    :param megabytes: size of its weights.
-    :param load_time: seconds of a load from the weight store.
+    :param megabytes: size of the weights.
+    :param load_time: seconds to load it from the weight store.
     :param adapter_megabytes: size of one adapter.
-    :param disk_time: seconds of a load from the engine's own disk, 0 where unknown.
-    :param warm_time: seconds of a load from its memory, 0 where unknown.
+    :param disk_time: seconds to load it from the engine's own disk, 0 if unknown.
+    :param warm_time: seconds to load it from the engine's memory, 0 if unknown.
     """
 
     name: ModelName
@@ -99,12 +102,14 @@
 
 
 class EngineSpec(msgspec.Struct, frozen=True, array_like=True):
-    """What one engine of a service has room for.
-
-    :param slots: requests in one batch.
-    :param cache_tokens: tokens of running requests and kept prompt parts.
-    :param megabytes: room for weights and adapters together.
-    :param adapter_slots: adapters at once, those on their way counted.
+    """Capacity of one engine of a service.
+
+    :param slots: maximum number of requests in a batch.
+    :param cache_tokens: capacity of the key-value cache, in tokens of running requests
+        and cached prompt prefixes.
+    :param megabytes: memory for the weights of models and adapters together.
+    :param adapter_slots: maximum number of adapters, including those being loaded.
+    :param models: the base models that the engine may load.
     :param event_tokens: tokens in one event of a stream.
     """
 
@@ -116,15 +121,17 @@
     event_tokens: int = 1
 
     def list_fitting(self) -> list[ModelSpec]:
-        """Return the models that one engine has room for."""
+        """Return the models whose weights fit into one engine's memory."""
         return [model for model in self.models if model.megabytes <= self.megabytes]
 
 
 class ServiceSpec(msgspec.Struct, frozen=True, array_like=True):
-    """A service that routes may name.
+    """A service that routes may refer to.
 
-    :param connections: most connections that one target takes from all callers.
-    :param engine: set for a service of model engines.
+    :param health_path: path of the health check.
+    :param connections: maximum number of connections that one target accepts from all
+        callers together.
+    :param engine: capacity of an engine; none for a service without engines.
     """
 
     name: ServiceName
@@ -134,7 +141,13 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True, array_like=True):
-    """Bounds on what callers send, in bytes and seconds."""
+    """Limits on callers.
+
+    :param header_bytes: maximum size of a request's headers.
+    :param body_bytes: maximum size of a request's body.
+    :param header_time: maximum seconds until the headers are complete.
+    :param idle_time: maximum seconds for which a connection may be idle.
+    """
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -143,9 +156,9 @@
 
 
 class RouteSet(msgspec.Struct, frozen=True, array_like=True):
-    """All routes and services in force together.
+    """All routes and services that are in force together.
 
-    :param version: the highest that was accepted is in force.
+    :param version: version number; the highest accepted one is in force.
     """
 
     version: int
@@ -154,37 +167,37 @@
     limits: CallerLimits = CallerLimits()
 
     def service(self, name: ServiceName) -> ServiceSpec | None:
-        """Return a service by its name."""
-        return next((found for found in self.services if found.name == name), None)
+        """Return a service by its name, or none."""
+        return next((spec for spec in self.services if spec.name == name), None)
 
 
 def check_routes(routes: RouteSet) -> None:
-    """Refuse a set that would leave requests without a clear way.
+    """Check that a set routes requests unambiguously and to defined services.
 
-    :raises InvalidInput: names the first fault.
+    :raises InvalidInput: the set is inconsistent; the message names the first fault.
     """
     services = {service.name for service in routes.services}
-    places: set[tuple[str, str]] = set()
+    locations: set[tuple[str, str]] = set()
     for route in routes.routes:
         if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
-            raise _refuse(route, "its prefix doesn't begin and end with a slash")
+            raise _reject(route, "its prefix does not begin and end with a slash")
         if any(share.service not in services for share in route.shares):
-            raise _refuse(route, "it names a service that isn't described")
+            raise _reject(route, "it refers to a service that is not defined")
         if any(share.weight < 0 for share in route.shares):
-            raise _refuse(route, "a weight is negative")
+            raise _reject(route, "a weight is negative")
         if sum(share.weight for share in route.shares) <= 0:
-            raise _refuse(route, "its weights add up to nothing")
+            raise _reject(route, "its weights add up to zero")
         if route.timeout <= 0:
-            raise _refuse(route, "its timeout is not above zero")
-        if (place := (route.hostname, route.prefix)) in places:
-            raise _refuse(route, "another route has the same host name and prefix")
-        places.add(place)
+            raise _reject(route, "its timeout is not above zero")
+        if (location := (route.hostname, route.prefix)) in locations:
+            raise _reject(route, "another route has the same host name and prefix")
+        locations.add(location)
 
 
 def find_gap_objective(routes: RouteSet, service: ServiceName) -> float:
-    """Return the shortest pause that callers of a service accept, 0 where none is set.
+    """Return the strictest gap objective of all routes to a service.
 
-    :returns: seconds between two events.
+    :returns: seconds between two events, 0 if no route sets an objective.
     """
     gaps = [
         route.gap_objective
@@ -196,7 +209,7 @@
 
 
 def find_route(routes: RouteSet, hostname: str, path: str) -> Route | None:
-    """Return the route of a host name with the longest prefix that begins the path."""
+    """Return the route of a host name with the longest matching prefix, or none."""
     best: Route | None = None
     for route in routes.routes:
         if route.hostname != hostname or not path.startswith(route.prefix):
@@ -207,9 +220,9 @@
 
 
 def pick_service(route: Route, point: float) -> ServiceName:
-    """Return the service of a route at a point in its weights.
+    """Choose a service of a route in proportion to the weights.
 
-    :param point: drawn evenly from 0 up to 1.
+    :param point: random number, uniform between 0 (inclusive) and 1 (exclusive).
     """
     remaining = point * sum(share.weight for share in route.shares)
     for share in route.shares:
@@ -219,7 +232,7 @@
     return max(route.shares, key=lambda share: share.weight).service
 
 
-def _refuse(route: Route, reason: str) -> InvalidInput:
+def _reject(route: Route, reason: str) -> InvalidInput:
     return InvalidInput(
-        f"route {route.name}: {reason}", "mend the route, send all again"
+        f"route {route.name}: {reason}", "correct the route and resend the whole set"
     )
--- a/src/ibishead/routing/targets.py
+++ b/src/ibishead/routing/targets.py
@@ -1,7 +1,8 @@
-"""What targets say of themselves, kept as soft state and merged by age.
+"""Registrations of targets, kept as soft state.
 
-A view is never agreed on: each host merges what it hears, and the newest life of a
-target and its newest statement win whatever the order of arrival.
+Views are not agreed on between hosts: each host merges the registrations it receives.
+The newest registration of the newest incarnation of a target wins, whatever the order
+of arrival.
 """
 
 from collections.abc import Iterable, Iterator
@@ -21,13 +22,13 @@
     "list_adapters",
 ]
 
-#: Seconds after which a target that left is forgotten. Longer than a late statement
-#: of its last life can be on its way.
-GONE_KEPT = 60.0
+#: Time for which the record of a target that left is kept. It exceeds the delay of any
+#: late registration of the target's last incarnation.
+GONE_RETENTION_SECONDS = 60.0
 
 
 class TargetState(Enum):
-    """Whether a target takes new requests."""
+    """Whether a target accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -35,14 +36,14 @@
 
 
 class AdapterRef(msgspec.Struct, frozen=True, array_like=True):
-    """An adapter at one version, as an engine lists it."""
+    """One version of an adapter, as an engine lists it."""
 
     name: str
     version: int
 
 
 class WeightKey(msgspec.Struct, frozen=True, array_like=True):
-    """A model, or an adapter of it.
+    """Identifies the weights of a model, or of an adapter of it.
 
     :param adapter: empty for the model itself.
     """
@@ -52,7 +53,7 @@
 
 
 class Holding(msgspec.Struct, frozen=True, array_like=True):
-    """A model that an engine holds, with its adapters."""
+    """A model that an engine has loaded, with the adapters loaded for it."""
 
     model: ModelName
     version: int
@@ -60,7 +61,7 @@
 
 
 def list_adapters(holdings: Iterable[Holding]) -> dict[WeightKey, int]:
-    """Return all adapters that an engine holds, with their versions."""
+    """Return the versions of all adapters that an engine has loaded."""
     return {
         WeightKey(holding.model, ref.name): ref.version
         for holding in holdings
@@ -69,12 +70,17 @@
 
 
 class Registration(msgspec.Struct, frozen=True, array_like=True):
-    """One statement of a target about itself.
-
-    :param born: milliseconds since 1970 of its start; tells one life from the next.
-    :param sequence: rises with each statement of one life.
-    :param cold: seconds for which it is still slow after its start.
-    :param remaining: seconds until it is gone whatever it runs, if that is known.
+    """A target's description of itself at one time.
+
+    :param address: ``ADDRESS:PORT`` where the target accepts requests.
+    :param slots: number of requests that the target runs at once.
+    :param born: start of the target, in milliseconds since 1970; distinguishes its
+        incarnations.
+    :param sequence: rises with each registration of an incarnation.
+    :param cold: seconds for which the target remains slow after its start.
+    :param remaining: seconds until the target ends, even if requests are running; none
+        if not known.
+    :param holdings: the loaded models and adapters.
     """
 
     target: TargetId
@@ -91,77 +97,96 @@
 
     @property
     def age(self) -> tuple[int, int]:
-        """Orders all statements of one target."""
+        """Sort key that orders the registrations of one target."""
         return (self.born, self.sequence)
 
 
 class TargetView:
-    """The newest statement of each target, by one host's knowledge.
+    """The newest registration of each target that one host has received.
 
-    Failure: a statement that was held up arrives after its target has died and another
-    has started, at the same address or under the same name. Taken as new it would
-    bring the dead target back. Lives are told apart by their start, so it loses.
+    A delayed registration may arrive after its target has ended and another one has
+    started, at the same address or under the same name. It must not replace the newer
+    target, so incarnations are ordered by their start times.
     """
 
     def __init__(self) -> None:
         self._known: dict[TargetId, Registration] = {}
-        self._heard: dict[TargetId, float] = {}
+        self._last_seen: dict[TargetId, float] = {}
 
     def __iter__(self) -> Iterator[Registration]:
         return iter(self._known.values())
 
     def get(self, target: TargetId) -> Registration | None:
-        """Return what is known of a target."""
+        """Return the newest registration of a target, or none."""
         return self._known.get(target)
 
     def heard(self, target: TargetId) -> float:
-        """Return when the target was last heard of, in monotonic seconds."""
-        return self._heard.get(target, 0.0)
-
-    def merge(self, statement: Registration, now: float) -> bool:
-        """Take a statement in, and return whether it is newer than what was known."""
-        known = self._known.get(statement.target)
-        if known is not None and statement.age <= known.age:
-            if statement.age == known.age:
-                self._heard[statement.target] = now
+        """Return when the target last registered or sent a heartbeat.
+
+        :returns: monotonic seconds, 0 for an unknown target.
+        """
+        return self._last_seen.get(target, 0.0)
+
+    def merge(self, registration: Registration, now: float) -> bool:
+        """Merge a registration.
+
+        :param now: monotonic seconds.
+        :returns: whether it replaced the known registration of its target.
+        """
+        known = self._known.get(registration.target)
+        if known is not None and registration.age <= known.age:
+            if registration.age == known.age:
+                self._last_seen[registration.target] = now
             return False
-        same_life = known is not None and known.born == statement.born
-        if same_life and _has_left(known) and not _has_left(statement):
-            # a life that has said farewell never becomes ready again
+        same_incarnation = known is not None and known.born == registration.born
+        if same_incarnation and _is_leaving(known) and not _is_leaving(registration):
+            # An incarnation that left the ready state never returns to it
             return False
-        self._known[statement.target] = statement
-        self._heard[statement.target] = now
+        self._known[registration.target] = registration
+        self._last_seen[registration.target] = now
         return True
 
     def hear(self, target: TargetId, born: int, sequence: int, now: float) -> bool:
-        """Note a sign of life that changes nothing; false where it isn't known."""
+        """Record a heartbeat of a target.
+
+        :param born: start of the incarnation that sent it.
+        :param sequence: sequence number of the repeated registration.
+        :param now: monotonic seconds.
+        :returns: whether that incarnation of the target is known.
+        """
         known = self._known.get(target)
         if known is None or known.born != born:
             return False
-        self._heard[target] = now
+        self._last_seen[target] = now
         if sequence > known.sequence:
             self._known[target] = msgspec.structs.replace(known, sequence=sequence)
         return True
 
     def leave(self, target: TargetId, born: int, now: float) -> Registration | None:
-        """Note that a target has left; returns its last statement if that is news.
+        """Mark a target as gone.
 
-        :param born: 0 where the farewell doesn't say which life has ended.
+        :param born: start of the incarnation that ended, 0 if unspecified.
+        :param now: monotonic seconds.
+        :returns: the resulting registration; none if the target is unknown, already
+            gone, or known by another incarnation.
         """
         known = self._known.get(target)
         if known is None or known.state is TargetState.GONE:
             return None
         if born and born != known.born:
             return None
-        left = msgspec.structs.replace(
+        gone = msgspec.structs.replace(
             known, state=TargetState.GONE, sequence=known.sequence + 1
         )
-        self._known[target] = left
-        self._heard[target] = now
-        return left
+        self._known[target] = gone
+        self._last_seen[target] = now
+        return gone
 
     def list_service(self, service: ServiceName) -> list[Registration]:
-        """Return the ready targets of a service, only the newest at each address."""
+        """Return the ready targets of a service.
+
+        Of several targets at one address only the newest counts.
+        """
         newest: dict[str, Registration] = {}
         for found in self._known.values():
             other = newest.get(found.address)
@@ -174,25 +199,33 @@
         ]
 
     def find_address(self, address: str) -> Registration | None:
-        """Return the newest life at an address, unless it has left."""
-        lives = [
+        """Return the newest target at an address that is not gone, or none."""
+        candidates = [
             found
             for found in self._known.values()
             if found.address == address and found.state is not TargetState.GONE
         ]
-        return max(lives, key=lambda found: found.age, default=None)
+        return max(candidates, key=lambda found: found.age, default=None)
 
     def forget(self, now: float, silence: float) -> list[TargetId]:
-        """Drop what has left or was silent for long, and return the names."""
-        due = [
+        """Remove expired targets.
+
+        A target expires some time after it left, or without contact.
+
+        :param now: monotonic seconds.
+        :param silence: seconds without contact after which a ready target expires.
+        :returns: the removed targets.
+        """
+        expired = [
             name
             for name, found in self._known.items()
-            if now - self._heard[name] > (GONE_KEPT if _has_left(found) else silence)
+            if now - self._last_seen[name]
+            > (GONE_RETENTION_SECONDS if _is_leaving(found) else silence)
         ]
-        for name in due:
-            del self._known[name], self._heard[name]
-        return due
+        for name in expired:
+            del self._known[name], self._last_seen[name]
+        return expired
 
 
-def _has_left(statement: Registration | None) -> bool:
-    return statement is not None and statement.state is not TargetState.READY
+def _is_leaving(registration: Registration | None) -> bool:
+    return registration is not None and registration.state is not TargetState.READY
--- a/tests/registry/test_founders.py
+++ b/tests/registry/test_founders.py
@@ -1,4 +1,4 @@
-"""Which host founds the replicated log, and with whom."""
+"""Choice of the host that founds the replicated log, and of the first voters."""
 
 import pytest
 from hypothesis import given
@@ -33,7 +33,7 @@
         (set(), None),
     ],
 )
-def test_one_host_founds_whichever_seeds_have_disks(disks, founder):
+def test_exactly_one_host_founds_for_any_seeds_with_disks(disks, founder):
     members = [make_member(n, n in disks) for n in range(1, 8)]
     founding = [
         member.host
@@ -43,7 +43,7 @@
     assert founding == ([founder] if founder else [])
 
 
-def test_nothing_is_founded_before_every_seed_is_heard():
+def test_no_host_founds_before_all_seeds_are_known():
     members = [make_member(n) for n in (2, 3, 4, 5)]
     assert choose_founders(HostId("h2"), SEEDS, members, 3) == ()
 
@@ -52,8 +52,11 @@
     disks=st.sets(st.integers(1, 9), min_size=1),
     known=st.lists(st.sets(st.integers(4, 9)), min_size=2, max_size=4),
 )
-def test_two_hosts_never_both_found(disks, known):
-    """Two hosts that found would each accept what the other never hears of."""
+def test_at_most_one_host_founds_for_any_known_members(disks, known):
+    """Guards against two separate logs.
+
+    Two hosts that each founded one would accept changes that the other never receives.
+    """
     founders = set()
     for others in known:
         members = [make_member(n, n in disks) for n in {1, 2, 3} | others]
@@ -68,7 +71,7 @@
 @pytest.mark.parametrize(
     ("disks", "wanted", "size"), [(4, 3, 3), (8, 5, 5), (5, 5, 5), (4, 5, 3), (2, 3, 1)]
 )
-def test_the_set_is_odd_and_spread(disks, wanted, size):
+def test_founders_are_odd_in_number_and_spread_over_domains(disks, wanted, size):
     members = [make_member(n, domain=f"d{n % 4}") for n in range(1, disks + 1)]
     seeds = SEEDS[: min(3, disks)]
     chosen = choose_founders(HostId("h1"), seeds, members, wanted)
@@ -78,5 +81,5 @@
 
 
 @pytest.mark.parametrize(("losses", "voters"), [(0, 3), (1, 3), (2, 5), (3, 7), (9, 7)])
-def test_voters_bear_the_losses(losses, voters):
+def test_voters_tolerate_the_losses(losses, voters):
     assert count_voters(losses) == voters
--- a/tests/registry/test_publisher.py
+++ b/tests/registry/test_publisher.py
@@ -1,4 +1,4 @@
-"""What a registry tells each subscriber, and what it doesn't repeat."""
+"""Which updates a registry sends to each subscriber, and which it omits."""
 
 import asyncio
 from types import SimpleNamespace
@@ -6,7 +6,7 @@
 import pytest
 
 from ibishead.clock import ManualClock
-from ibishead.registry.publisher import MEMBERS_WAIT, FeedPublisher
+from ibishead.registry.publisher import MEMBERS_BATCH_SECONDS, FeedPublisher
 from ibishead.registry.state import PutRoutes, RouteState, encode_command
 from ibishead.routing.feed import RegistryFeed
 from ibishead.routing.messages import (
@@ -25,7 +25,7 @@
 
 
 class RecordingLink:
-    """Keeps what is sent over it."""
+    """Records the messages that are sent over it."""
 
     def __init__(self):
         self.sent = []
@@ -35,8 +35,8 @@
         self.sent.append(message)
 
     def list_members(self):
-        told = [m for m in self.sent if isinstance(m, Members)]
-        return [found.host for message in told for found in message.members]
+        messages = [m for m in self.sent if isinstance(m, Members)]
+        return [found.host for message in messages for found in message.members]
 
     def list_of(self, kind):
         return [message for message in self.sent if isinstance(message, kind)]
@@ -46,36 +46,36 @@
     return MemberRecord(host, kind, "10.0.0.1", 7380, "zone", target=target)
 
 
-def make_statement(target, address, sequence=1):
+def make_registration(target, address, sequence=1):
     return Registration(
         target, "s", address, "zone", 12, TargetState.READY, 1, sequence
     )
 
 
-class World:
+class Scene:
     """One registry's publisher, with its feed and state."""
 
     def __init__(self):
         own = make_member("r0", MemberKind.REGISTRY)
         self.state = RouteState()
         self.feed = RegistryFeed(own, (), ManualClock(), dialer=None)
-        self.feed._keep = lambda _: None
+        self.feed._ensure_link = lambda _: None
         self.publisher = FeedPublisher(
             self.state, self.feed, None, lambda _: None, self.meet
         )
-        self.state.on_change = self.publisher.tell_state
+        self.state.on_change = self.publisher.publish_state
 
     def meet(self, member):
-        self.publisher.tell_members(self.feed.meet((member,)), relayed=False)
+        self.publisher.publish_members(self.feed.meet((member,)), relayed=False)
 
-    def hear(self, member):
-        """Let another registry tell of a member."""
-        self.publisher.tell_members(self.feed.meet((member,)), relayed=True)
+    def receive_relayed(self, member):
+        """Add a member as if another registry had sent it."""
+        self.publisher.publish_members(self.feed.meet((member,)), relayed=True)
 
     def subscribe(self, host, kind, target=""):
         link = RecordingLink()
         message = SubscribeFeed(make_member(host, kind, target))
-        assert self.publisher.take(link, message)
+        assert self.publisher.handle_message(link, message)
         return link
 
     def put_routes(self, version):
@@ -84,58 +84,58 @@
 
 
 @pytest.fixture
-async def world():
-    return World()
+async def scene():
+    return Scene()
 
 
-async def test_members_are_told_once(world):
-    """Guards against the whole list to everybody at each arrival."""
-    links = [world.subscribe(f"g{n}", MemberKind.GATEWAY) for n in range(5)]
-    await asyncio.sleep(MEMBERS_WAIT * 1.5)
-    late = world.subscribe("g5", MemberKind.GATEWAY)
-    world.subscribe("g5", MemberKind.GATEWAY)
-    await asyncio.sleep(MEMBERS_WAIT * 1.5)
+async def test_each_member_is_sent_once(scene):
+    """Guards against sending all members to all subscribers at each subscription."""
+    links = [scene.subscribe(f"g{n}", MemberKind.GATEWAY) for n in range(5)]
+    await asyncio.sleep(MEMBERS_BATCH_SECONDS * 1.5)
+    late = scene.subscribe("g5", MemberKind.GATEWAY)
+    scene.subscribe("g5", MemberKind.GATEWAY)
+    await asyncio.sleep(MEMBERS_BATCH_SECONDS * 1.5)
     for number, link in enumerate(links):
-        told = link.list_members()
-        assert len(told) == len(set(told))
-        assert set(told) | {f"g{number}"} == {"r0", *(f"g{n}" for n in range(6))}
+        sent_hosts = link.list_members()
+        assert len(sent_hosts) == len(set(sent_hosts))
+        assert set(sent_hosts) | {f"g{number}"} == {"r0", *(f"g{n}" for n in range(6))}
     assert set(late.list_members()) == {"r0", *(f"g{n}" for n in range(6))}
 
 
-async def test_registries_are_told_at_once(world):
-    gateway = world.subscribe("g0", MemberKind.GATEWAY)
-    world.subscribe("r1", MemberKind.REGISTRY)
+async def test_registries_are_announced_at_once(scene):
+    gateway = scene.subscribe("g0", MemberKind.GATEWAY)
+    scene.subscribe("r1", MemberKind.REGISTRY)
     assert "r1" in gateway.list_members()
 
 
-async def test_what_a_registry_told_goes_to_no_registry(world):
-    """Guards against records of two lives of a host that circle without end."""
-    registry = world.subscribe("r1", MemberKind.REGISTRY)
-    gateway = world.subscribe("g0", MemberKind.GATEWAY)
-    world.hear(make_member("r2", MemberKind.REGISTRY))
+async def test_relayed_members_are_not_sent_to_registries(scene):
+    """Guards against records of two incarnations of a host being forwarded forever."""
+    registry = scene.subscribe("r1", MemberKind.REGISTRY)
+    gateway = scene.subscribe("g0", MemberKind.GATEWAY)
+    scene.receive_relayed(make_member("r2", MemberKind.REGISTRY))
     assert "r2" in gateway.list_members()
     assert "r2" not in registry.list_members()
 
 
-async def test_stewards_hear_of_registries_and_their_own_engine_only(world):
-    """Guards against news that every side host takes and none of them needs."""
-    steward = world.subscribe("s0", MemberKind.STEWARD, target="10.0.0.9:80")
-    world.subscribe("g0", MemberKind.GATEWAY)
-    world.subscribe("r1", MemberKind.REGISTRY)
-    world.publisher.tell_own((make_statement("t1", "10.0.0.8:80"),))
-    world.publisher.tell_others((make_statement("t0", "10.0.0.9:80"),))
-    await asyncio.sleep(MEMBERS_WAIT * 1.5)
+async def test_stewards_receive_only_registries_and_their_own_engine(scene):
+    """Guards against updates that every steward receives and none of them needs."""
+    steward = scene.subscribe("s0", MemberKind.STEWARD, target="10.0.0.9:80")
+    scene.subscribe("g0", MemberKind.GATEWAY)
+    scene.subscribe("r1", MemberKind.REGISTRY)
+    scene.publisher.publish_registrations((make_registration("t1", "10.0.0.8:80"),))
+    scene.publisher.relay_registrations((make_registration("t0", "10.0.0.9:80"),))
+    await asyncio.sleep(MEMBERS_BATCH_SECONDS * 1.5)
     assert set(steward.list_members()) == {"r0", "r1"}
     (statements,) = steward.list_of(Statements)
     assert [found.target for found in statements.registrations] == ["t0"]
 
 
-async def test_signs_of_life_of_an_own_engine_reach_its_steward(world):
-    steward = world.subscribe("s0", MemberKind.STEWARD, target="10.0.0.9:80")
-    gateway = world.subscribe("g0", MemberKind.GATEWAY)
-    world.publisher.note_life(make_statement("t0", "10.0.0.9:80"))
-    world.publisher.note_life(make_statement("t1", "10.0.0.8:80"))
-    task = asyncio.create_task(world.publisher.run())
+async def test_steward_receives_heartbeats_of_its_own_engine(scene):
+    steward = scene.subscribe("s0", MemberKind.STEWARD, target="10.0.0.9:80")
+    gateway = scene.subscribe("g0", MemberKind.GATEWAY)
+    scene.publisher.queue_heartbeat(make_registration("t0", "10.0.0.9:80"))
+    scene.publisher.queue_heartbeat(make_registration("t1", "10.0.0.8:80"))
+    task = asyncio.create_task(scene.publisher.run())
     await asyncio.sleep(0.7)
     task.cancel()
     (to_steward,) = steward.list_of(SignsOfLife)
@@ -145,11 +145,11 @@
 
 
 @pytest.mark.parametrize(("held", "base"), [(0, 0), (3, 3), (2, 0)])
-async def test_routes_are_answered_by_what_the_asker_holds(world, held, base):
-    link = world.subscribe("g0", MemberKind.GATEWAY)
-    world.put_routes(3)
-    world.put_routes(5)
-    world.publisher.take(link, AskRoutes(held))
+async def test_routes_are_answered_by_the_version_held(scene, held, base):
+    link = scene.subscribe("g0", MemberKind.GATEWAY)
+    scene.put_routes(3)
+    scene.put_routes(5)
+    scene.publisher.handle_message(link, AskRoutes(held))
     assert [notice.version for notice in link.list_of(RouteNotice)] == [3, 5]
     (answer,) = link.list_of(RoutesAnswer)
     assert (answer.version, answer.base) == (5, base)
--- a/tests/registry/test_service.py
+++ b/tests/registry/test_service.py
@@ -1,4 +1,4 @@
-"""What operators get from a registry, and what it logs of it."""
+"""Answers of a registry to operators, and the log lines it writes about them."""
 
 from collections.abc import Awaitable, Callable
 from types import SimpleNamespace
@@ -19,32 +19,32 @@
 KEY = WeightKey(ModelName("m"), "a1")
 
 
-class LoneReplica:
-    """Applies what is proposed, or refuses it."""
+class FakeReplica:
+    """Applies each proposed command at once, or raises an error for it."""
 
     def __init__(self, state: RouteState, refusal: Exception | None) -> None:
         self._state = state
         self._refusal = refusal
         self._index = 0
-        self.tries = 0
-        self.electing = True
+        self.calls = 0
+        self.leader_expected = True
 
     def leader(self) -> ReplicaId:
         return ReplicaId("a.1")
 
     def expects_leader(self) -> bool:
-        return self.electing
+        return self.leader_expected
 
     def count_reached(self) -> tuple[int, int]:
         return 1, 3
 
     async def confirm_read(self) -> None:
-        self.tries += 1
+        self.calls += 1
         if self._refusal is not None:
             raise self._refusal
 
     async def propose(self, command: bytes, *, applied: bool = True) -> bytes:
-        self.tries += 1
+        self.calls += 1
         if self._refusal is not None:
             raise self._refusal
         self._index += 1
@@ -54,12 +54,12 @@
 def make_feed(
     linked: tuple[MemberRecord, ...], overdue: tuple[HostId, ...] = ()
 ) -> RegistryFeed:
-    """Return a feed that knows some registries and is linked to a few of them.
+    """Return a feed that knows all registries and is connected to some of them.
 
-    :param overdue: hosts whose link is up and silent.
+    :param overdue: hosts whose link is up but silent.
     """
     feed = RegistryFeed(make_registry(1, ""), (), ManualClock())
-    for number in KEEPERS:
+    for number in LOG_REGISTRIES:
         found = make_registry(number, "r")
         feed.members[found.host, found.kind] = found
     for found in linked:
@@ -80,14 +80,14 @@
     )
 
 
-KEEPERS = (2, 3, 4)
+LOG_REGISTRIES = (2, 3, 4)
 
 
 def make_service(
     refusal: Exception | None,
-) -> tuple[RegistryService, LoneReplica]:
+) -> tuple[RegistryService, FakeReplica]:
     state = RouteState()
-    replica = LoneReplica(state, refusal)
+    replica = FakeReplica(state, refusal)
     service = RegistryService(
         state, replica, None, None, ManualClock(), Metrics("registry")
     )
@@ -105,7 +105,7 @@
         (FULL, 2, FULL.code.value),
     ],
 )
-async def test_each_command_of_an_operator_leaves_a_line(
+async def test_each_operator_command_is_logged(
     refusal: Exception | None, version: int, outcome: str, caplog
 ) -> None:
     caplog.set_level("INFO")
@@ -132,70 +132,70 @@
     ],
     ids=["change", "fencing number", "read"],
 )
-async def test_a_call_is_not_kept_where_no_leader_is_to_be_expected(
+async def test_call_fails_at_once_if_no_leader_is_expected(
     ask: Callable[[RegistryService], Awaitable[object]],
 ) -> None:
-    """A registry that is cut off keeps each call until the caller gives up."""
+    """Guards against a partitioned registry that blocks calls until they time out."""
     refusal = Unavailable("no leader", "ask elsewhere", code=ErrorCode.NO_QUORUM)
     service, replica = make_service(refusal)
-    replica.electing = False
+    replica.leader_expected = False
     with pytest.raises(Unavailable) as caught:
         await ask(service)
     assert caught.value.code is ErrorCode.NO_QUORUM
-    assert replica.tries == 1
+    assert replica.calls == 1
 
 
 @pytest.mark.parametrize(
-    ("refused_with", "told"),
+    ("refused_with", "reported"),
     [
         (ErrorCode.NO_QUORUM, ErrorCode.NO_QUORUM),
         (ErrorCode.OUTCOME_UNKNOWN, ErrorCode.OUTCOME_UNKNOWN),
     ],
 )
-async def test_a_change_that_was_never_proposed_is_not_told_as_unknown(
-    refused_with: ErrorCode, told: ErrorCode
+async def test_outcome_is_not_unknown_if_nothing_was_proposed(
+    refused_with: ErrorCode, reported: ErrorCode
 ) -> None:
-    """A change that nobody can have taken is told as one that may be in force."""
+    """Guards against reporting an unproposed change as possibly in force."""
     service, replica = make_service(Unavailable("no", "ask again", code=refused_with))
     with pytest.raises(Unavailable) as caught:
         await service.raise_floor(KEY, 2)
-    assert caught.value.code is told
-    assert replica.tries > 1
+    assert caught.value.code is reported
+    assert replica.calls > 1
 
 
-async def test_callers_are_sent_to_each_linked_registry_with_a_log_in_turn() -> None:
-    """All callers are sent to one registry, and it stands still."""
-    linked = tuple(make_registry(number, "r") for number in KEEPERS[:2])
+async def test_redirects_rotate_over_connected_registries_with_a_log() -> None:
+    """Guards against redirecting all callers to one registry, which may hang."""
+    linked = tuple(make_registry(number, "r") for number in LOG_REGISTRIES[:2])
     feed = make_feed(linked)
     service = RegistryService(
         RouteState(), None, feed, None, ManualClock(), Metrics("registry")
     )
-    told = []
+    addresses = []
     for _ in range(4):
         with pytest.raises(ElsewhereError) as caught:
             await service.raise_floor(KEY, 2)
-        told.append(caught.value.address)
-    assert sorted(told) == sorted(2 * [member.operators for member in linked])
-    assert told[0] != told[1]
+        addresses.append(caught.value.address)
+    assert sorted(addresses) == sorted(2 * [member.operators for member in linked])
+    assert addresses[0] != addresses[1]
 
 
 @pytest.mark.parametrize(
-    ("overdue", "told"),
+    ("overdue", "expected"),
     [((2,), {"127.0.0.3:8000"}), ((2, 3), {"127.0.0.2:8000", "127.0.0.3:8000"})],
     ids=["one", "all"],
 )
-async def test_callers_are_sent_to_no_registry_that_has_gone_silent(
-    overdue: tuple[int, ...], told: set[str]
+async def test_redirects_avoid_registries_with_overdue_links(
+    overdue: tuple[int, ...], expected: set[str]
 ) -> None:
-    """A registry stands still, and callers are sent there while its link is up."""
-    linked = tuple(make_registry(number, "r") for number in KEEPERS[:2])
+    """Guards against redirects to a registry that hangs while its link is still up."""
+    linked = tuple(make_registry(number, "r") for number in LOG_REGISTRIES[:2])
     feed = make_feed(linked, tuple(HostId(f"h{number}") for number in overdue))
     service = RegistryService(
         RouteState(), None, feed, None, ManualClock(), Metrics("registry")
     )
-    found = set()
+    addresses = set()
     for _ in range(4):
         with pytest.raises(ElsewhereError) as caught:
             await service.raise_floor(KEY, 2)
-        found.add(caught.value.address)
-    assert found == told
+        addresses.add(caught.value.address)
+    assert addresses == expected
--- a/tests/registry/test_state.py
+++ b/tests/registry/test_state.py
@@ -1,4 +1,4 @@
-"""The registry's replicated state: versions only rise, in any order."""
+"""The registry's replicated state: versions only rise, in any order of commands."""
 
 import pytest
 from hypothesis import given
@@ -35,21 +35,21 @@
     ]
 
 
-def test_the_highest_version_is_in_force_and_lower_ones_change_nothing():
+def test_the_highest_version_is_in_force():
     state = RouteState()
     results = apply_all(state, [put(5, b"five"), put(3, b"three"), put(9, b"nine")])
     assert results == [RoutesPut(5), RoutesPut(5), RoutesPut(9)]
     assert (state.version, state.document) == (9, b"nine")
 
 
-def test_other_content_under_the_version_in_force_is_never_obeyed():
-    """Two operators name the same version; the one that came second reads it back."""
+def test_other_content_of_the_version_in_force_is_ignored():
+    """Two operators submit the same version; the first one submitted stays in force."""
     state = RouteState()
     apply_all(state, [put(5, b"first"), put(5, b"second")])
     assert state.document == b"first"
 
 
-def test_fencing_numbers_rise_over_a_snapshot():
+def test_fencing_numbers_rise_across_a_snapshot():
     state = RouteState()
     before = apply_all(state, [encode_command(TakeFence("h"))] * 2)
     restored = RouteState()
@@ -60,7 +60,7 @@
     assert len(fences) == 3
 
 
-def test_floors_only_rise_and_are_listed_behind_a_position():
+def test_floors_only_rise_and_are_listed_after_an_index():
     state = RouteState()
     results = apply_all(
         state,
@@ -72,22 +72,22 @@
 
 
 @pytest.mark.parametrize("command", [b"", b"junk", b"\x93\x01\x02\x03"])
-def test_a_bad_entry_is_answered_and_nothing_ends(command):
+def test_invalid_entry_is_rejected_without_an_exception(command):
     assert isinstance(decode_result(RouteState().apply(1, command)), Rejected)
 
 
-def test_a_bad_snapshot_is_a_storage_fault():
+def test_invalid_snapshot_raises_storage_fault():
     with pytest.raises(StorageFault):
         RouteState().restore(b"junk")
 
 
 @given(st.lists(st.integers(1, 20), max_size=20), st.integers(0, 20))
-def test_a_restored_replica_goes_on_like_the_others(versions, cut):
+def test_a_restored_replica_reaches_the_same_state(versions, cut):
     commands = [put(version, str(version).encode()) for version in versions]
-    whole, half = RouteState(), RouteState()
-    apply_all(whole, commands)
-    apply_all(half, commands[:cut])
+    complete, partial = RouteState(), RouteState()
+    apply_all(complete, commands)
+    apply_all(partial, commands[:cut])
     restored = RouteState()
-    restored.restore(half.capture())
+    restored.restore(partial.capture())
     apply_all(restored, commands[cut:], cut + 1)
-    assert restored.capture() == whole.capture() or not versions
+    assert restored.capture() == complete.capture() or not versions
--- a/tests/routing/test_feed.py
+++ b/tests/routing/test_feed.py
@@ -1,4 +1,4 @@
-"""How a program takes route sets over its links to registries."""
+"""How a program receives route sets over its links to registries."""
 
 import asyncio
 from types import SimpleNamespace
@@ -8,7 +8,7 @@
 from ibishead.clock import SystemClock
 from ibishead.links import Endpoint
 from ibishead.routing.changes import RouteHistory
-from ibishead.routing.feed import ROUTES_WAIT, RegistryFeed
+from ibishead.routing.feed import ROUTES_TIMEOUT_SECONDS, RegistryFeed
 from ibishead.routing.messages import (
     AskRoutes,
     MemberKind,
@@ -35,7 +35,7 @@
 
 
 class QueueLink:
-    """A link whose other end is the test."""
+    """A link whose messages are queued by the test."""
 
     def __init__(self):
         self.sent = []
@@ -49,14 +49,14 @@
     def end(self):
         pass
 
-    def tell(self, message):
+    def deliver(self, message):
         self._queue.put_nowait(message)
 
     async def receive(self):
         while True:
             yield await self._queue.get()
 
-    def list_asked(self):
+    def list_requested_versions(self):
         return [m.held for m in self.sent if isinstance(m, AskRoutes)]
 
 
@@ -86,61 +86,61 @@
     return RoutesAnswer(version, encoded, base)
 
 
-async def test_a_change_is_taken_where_its_base_is_held(feed):
+async def test_change_to_the_held_version_is_applied(feed):
     history = RouteHistory()
     history.add(make_set(1, "/a/"))
-    feed.far.tell(RouteNotice(1))
+    feed.far.deliver(RouteNotice(1))
     await settle()
-    feed.far.tell(answer(history, 0, 1))
+    feed.far.deliver(answer(history, 0, 1))
     await settle()
     history.add(make_set(2, "/a/", "/b/"))
-    feed.far.tell(RouteNotice(2))
+    feed.far.deliver(RouteNotice(2))
     await settle()
-    assert feed.far.list_asked() == [0, 1]
-    feed.far.tell(answer(history, 1, 2))
+    assert feed.far.list_requested_versions() == [0, 1]
+    feed.far.deliver(answer(history, 1, 2))
     await settle()
     assert feed.feed.version == 2
     assert {r.prefix for r in feed.feed.routes.routes} == {"/a/", "/b/"}
 
 
-async def test_a_change_that_comes_late_is_left_alone(feed):
+async def test_late_change_to_an_older_version_is_ignored(feed):
     """Guards against routes of two versions in force together."""
     history = RouteHistory()
     for version, prefix in ((1, "/a/"), (2, "/b/")):
         history.add(make_set(version, prefix))
-    feed.far.tell(RouteNotice(2))
+    feed.far.deliver(RouteNotice(2))
     await settle()
-    feed.far.tell(answer(history, 0, 2))
+    feed.far.deliver(answer(history, 0, 2))
     await settle()
     history.add(make_set(3, "/c/"))
-    feed.near.tell(answer(history, 1, 3))
+    feed.near.deliver(answer(history, 1, 3))
     await settle()
     assert feed.feed.version == 2
     assert {r.prefix for r in feed.feed.routes.routes} == {"/b/"}
 
 
-async def test_an_answer_that_cannot_be_read_is_asked_for_whole(feed):
-    """Guards against a program that stays at an old version for good."""
+async def test_whole_set_is_requested_after_an_unreadable_answer(feed):
+    """Guards against a program that stays at an old version forever."""
     history = RouteHistory()
     history.add(make_set(1, "/a/"))
-    feed.far.tell(RouteNotice(1))
+    feed.far.deliver(RouteNotice(1))
     await settle()
-    feed.far.tell(answer(history, 0, 1))
+    feed.far.deliver(answer(history, 0, 1))
     await settle()
-    feed.far.tell(RouteNotice(2))
+    feed.far.deliver(RouteNotice(2))
     await settle()
-    feed.far.tell(RoutesAnswer(2, b"\x78damaged", 1))
-    await asyncio.sleep(2 * ROUTES_WAIT)
+    feed.far.deliver(RoutesAnswer(2, b"\x78damaged", 1))
+    await asyncio.sleep(2 * ROUTES_TIMEOUT_SECONDS)
     assert feed.feed.version == 1
-    assert feed.far.list_asked()[-1] == 0
+    assert feed.far.list_requested_versions()[-1] == 0
 
 
-async def test_a_registry_of_the_own_failure_domain_is_asked_first(feed):
-    """Guards against large sets that cross failure domains without need."""
+async def test_registry_in_the_own_failure_domain_is_preferred(feed):
+    """Guards against sending large sets across failure domains unnecessarily."""
     near = MemberRecord("r1", MemberKind.REGISTRY, NEAR.address, NEAR.port, "zone-1")
-    feed.far.tell(Members((near,)))
-    feed.far.tell(RouteNotice(1))
+    feed.far.deliver(Members((near,)))
+    feed.far.deliver(RouteNotice(1))
     await settle()
-    feed.near.tell(RouteNotice(1))
-    await asyncio.sleep(2 * ROUTES_WAIT)
-    assert feed.near.list_asked()
+    feed.near.deliver(RouteNotice(1))
+    await asyncio.sleep(2 * ROUTES_TIMEOUT_SECONDS)
+    assert feed.near.list_requested_versions()
--- a/tests/routing/test_routes.py
+++ b/tests/routing/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which sets of routes are refused."""
+"""Matching of requests to routes, and validation of route sets."""
 
 import pytest
 from hypothesis import given
@@ -47,7 +47,7 @@
         ("other.example", "/a/b/c", None),
     ],
 )
-def test_longest_prefix_of_the_host_wins(hostname, path, expected):
+def test_longest_matching_prefix_of_the_host_is_chosen(hostname, path, expected):
     routes = make_set(make_route("/a/"), make_route("/a/b/"), make_route("/z/"))
     found = find_route(routes, hostname, path)
     assert (found.prefix if found else None) == expected
@@ -57,14 +57,14 @@
     ("routes", "reason"),
     [
         ((make_route("/a/"), make_route("/a/")), "same host name and prefix"),
-        ((make_route(shares=(Share(ServiceName("x"), 1.0),)),), "isn't described"),
+        ((make_route(shares=(Share(ServiceName("x"), 1.0),)),), "not defined"),
         ((make_route(shares=(Share(ServiceName("plans"), 0.0),)),), "add up"),
         ((make_route(timeout=0.0),), "timeout"),
         ((make_route("a/"),), "slash"),
         ((make_route(shares=(Share(ServiceName("plans"), -1.0),)),), "negative"),
     ],
 )
-def test_inconsistent_sets_are_refused(routes, reason):
+def test_inconsistent_sets_are_rejected(routes, reason):
     with pytest.raises(InvalidInput, match=reason):
         check_routes(make_set(*routes))
 
@@ -73,10 +73,10 @@
     weights=st.lists(st.integers(0, 100), min_size=1, max_size=5).filter(any),
     point=st.floats(0, 1, exclude_max=True),
 )
-def test_a_share_without_weight_is_never_picked(weights, point):
+def test_share_of_zero_weight_is_never_chosen(weights, point):
     shares = tuple(Share(ServiceName(f"s{n}"), w) for n, w in enumerate(weights))
-    picked = pick_service(make_route(shares=shares), point)
-    assert weights[int(picked[1:])] > 0
+    chosen = pick_service(make_route(shares=shares), point)
+    assert weights[int(chosen[1:])] > 0
 
 
 @pytest.mark.parametrize(
@@ -88,5 +88,5 @@
         (Repeatability.STREAM, True, True),
     ],
 )
-def test_only_what_may_run_twice_is_repeatable(kind, resumable, expected):
+def test_repeatable_depends_on_kind_and_resumability(kind, resumable, expected):
     assert make_route(kind=kind, resumable=resumable).repeatable is expected
