--- a/benchmarks/without.py
+++ b/benchmarks/without.py
@@ -45,7 +45,7 @@
     # an engine is sent more requests than its batch has slots
     "batch-slots": (("decisions.batchslots", "BatchSlots.full", False),),
     # every receiver is sent whole route sets
-    "route-changes": (("routing.changes", "KEPT_SETS", 1),),
+    "route-changes": (("routing.changes", "MAX_RETAINED_SETS", 1),),
     # requests that no engine begins wait until their deadline
     "refusal": (("gateway.choosing", "REFUSE_FACTOR", 1e6),),
     # voters wait out a silence after a start
--- a/src/ibishead/gateway/book.py
+++ b/src/ibishead/gateway/book.py
@@ -287,9 +287,9 @@
             resident = serving
         wished = set(notes.asked)
         if report is not None:
-            wished.update(report.wished)
-            wished.difference_update(key for key, _ in report.coming)
-        coming = report is not None and any(key == weights for key, _ in report.coming)
+            wished.update(report.awaited)
+            wished.difference_update(key for key, _ in report.loading)
+        coming = report is not None and any(key == weights for key, _ in report.loading)
         return AdapterPlace(
             resident=resident and weights not in notes.lacking,
             coming=coming and manageable,
--- a/src/ibishead/gateway/choosing.py
+++ b/src/ibishead/gateway/choosing.py
@@ -95,7 +95,7 @@
         view, now = self._feed.view, self._clock.monotonic()
         hold = find_hold(request.call.patience)
         last = min(now + hold, self._began + LEARN_TIME)
-        while now < last and not view.list_service(request.service):
+        while now < last and not view.list_ready_targets(request.service):
             await asyncio.sleep(LEARN_INTERVAL)
             now = self._clock.monotonic()
 
@@ -187,7 +187,7 @@
         candidates = [
             self._book.describe(
                 target,
-                self._feed.view.heard(target.target) if self._feed.links else now,
+                self._feed.view.last_seen(target.target) if self._feed.links else now,
                 now,
                 key,
                 least,
@@ -195,7 +195,7 @@
                 spec,
                 self._stewards.is_mute(target.address),
             )
-            for target in self._feed.view.list_service(request.service)
+            for target in self._feed.view.list_ready_targets(request.service)
         ]
         need = Need(
             self._domain,
--- a/src/ibishead/gateway/server.py
+++ b/src/ibishead/gateway/server.py
@@ -67,7 +67,7 @@
             settings.registries,
             clock,
             on_routes=self._take_routes,
-            on_statements=self._take_statements,
+            on_registrations=self._take_statements,
             on_members=self._meet_stewards,
         )
         self.metrics = Metrics("gateway")
--- a/src/ibishead/gateway/stewards.py
+++ b/src/ibishead/gateway/stewards.py
@@ -13,7 +13,12 @@
 from ibishead.ids import HostId
 from ibishead.links import Dialer, Endpoint, Link, dial
 from ibishead.messages import Hello, Message, Role
-from ibishead.routing.feed import FEED_PACE, FORGET_AFTER, REDIAL_FIRST, REDIAL_MOST
+from ibishead.routing.feed import (
+    FEED_PACE,
+    FORGET_AFTER_SECONDS,
+    REDIAL_MAX_SECONDS,
+    REDIAL_MIN_SECONDS,
+)
 from ibishead.routing.messages import (
     AskTurn,
     BeginUse,
@@ -212,8 +217,8 @@
         await asyncio.gather(*self._keepers.values(), return_exceptions=True)
 
     async def _keep(self, endpoint: Endpoint, member: MemberRecord) -> None:
-        wait, reached = REDIAL_FIRST, self._clock.monotonic()
-        while self._clock.monotonic() - reached < FORGET_AFTER:
+        wait, reached = REDIAL_MIN_SECONDS, self._clock.monotonic()
+        while self._clock.monotonic() - reached < FORGET_AFTER_SECONDS:
             try:
                 link = await self._dial(
                     endpoint,
@@ -228,11 +233,11 @@
                     # its host answers, so the engine there may be well
                     self._silenced.discard(member.target)
             else:
-                wait = REDIAL_FIRST
+                wait = REDIAL_MIN_SECONDS
                 await self._listen(member.target, link)
                 reached = self._clock.monotonic()
             await asyncio.sleep(wait)
-            wait = min(2 * wait, REDIAL_MOST)
+            wait = min(2 * wait, REDIAL_MAX_SECONDS)
         self._silenced.discard(member.target)
         del self._keepers[endpoint]
 
--- a/src/ibishead/platform/doors.py
+++ b/src/ibishead/platform/doors.py
@@ -13,7 +13,7 @@
     decode_routes,
     decode_version,
 )
-from ibishead.registry.service import ElsewhereError, RegistryService
+from ibishead.registry.service import RedirectError, RegistryService
 from ibishead.web import Exchange, WebRequest, encode_error
 
 __all__ = ["make_door"]
@@ -32,7 +32,7 @@
         request = exchange.request
         try:
             body = await _answer(service, request)
-        except ElsewhereError as error:
+        except RedirectError as error:
             location = f"http://{error.address}{request.target}"
             await exchange.respond(307, (("location", location),))
             return
@@ -79,4 +79,4 @@
     if kind == "heartbeat":
         service.announce(decode_heartbeat(target, body))
     else:
-        service.take_leave(TargetId(target), decode_farewell(body))
+        service.deregister(TargetId(target), decode_farewell(body))
--- a/src/ibishead/platform/programs.py
+++ b/src/ibishead/platform/programs.py
@@ -152,7 +152,7 @@
             if frozenset(found) != seeds:
                 logger.info("settings read", extra={"seeds": len(found)})
                 seeds = frozenset(found)
-                feed.reseed(found)
+                feed.replace_seeds(found)
         changed.clear()
         try:
             await asyncio.wait_for(changed.wait(), RELOAD_INTERVAL)
--- a/src/ibishead/registry/server.py
+++ b/src/ibishead/registry/server.py
@@ -103,7 +103,7 @@
             member,
             tuple(Endpoint(s.address, settings.seed_port) for s in settings.seeds),
             clock,
-            on_statements=lambda fresh: self._publisher.relay_registrations(fresh),
+            on_registrations=lambda fresh: self._publisher.relay_registrations(fresh),
             on_members=self._handle_members,
         )
         self._publisher = FeedPublisher(
@@ -217,7 +217,7 @@
             raise
 
     def _handle_subscriber(self, member: MemberRecord) -> None:
-        fresh = self.feed.meet((member,))
+        fresh = self.feed.merge_members((member,))
         self._add_peers(fresh)
         self._publisher.publish_members(fresh, relayed=False)
 
--- a/src/ibishead/registry/service.py
+++ b/src/ibishead/registry/service.py
@@ -33,7 +33,7 @@
 from ibishead.routing.routes import RouteSet, check_routes
 from ibishead.routing.targets import Registration, TargetState, WeightKey
 
-__all__ = ["ElsewhereError", "RegistryService"]
+__all__ = ["RedirectError", "RegistryService"]
 
 logger = logging.getLogger(__name__)
 
@@ -53,7 +53,7 @@
 NO_QUORUM_RETRY_AFTER = timedelta(seconds=0.3)
 
 
-class ElsewhereError(IbisheadError):
+class RedirectError(IbisheadError):
     """This registry has no log replica; the caller is redirected to one that has.
 
     :param address: ``ADDRESS:PORT`` of that registry's HTTP server.
@@ -119,12 +119,12 @@
         )
         self._publisher.publish_registrations((registration,))
 
-    def take_leave(self, target: TargetId, born: int) -> None:
+    def deregister(self, target: TargetId, born: int) -> None:
         """Mark a target as gone, and inform the subscribers.
 
         :param born: start of the incarnation that ended, 0 if unspecified.
         """
-        gone = self._feed.view.leave(target, born, self._clock.monotonic())
+        gone = self._feed.view.mark_gone(target, born, self._clock.monotonic())
         if gone is not None:
             logger.info(
                 "target deregistered", extra={"target": target, "born": gone.born}
@@ -282,7 +282,7 @@
     def _require_replica(self) -> Replica:
         if self._replica is not None:
             return self._replica
-        candidates = self._feed.list_log_keepers()
+        candidates = self._feed.list_log_registries()
         if not candidates:
             raise Unavailable(
                 "no registry with a log replica is connected",
@@ -293,7 +293,7 @@
         # Redirects rotate, because a hung registry's link stays up for a while
         self._redirect_count += 1
         chosen, _ = candidates[self._redirect_count % len(candidates)]
-        raise ElsewhereError(chosen.operators)
+        raise RedirectError(chosen.operators)
 
 
 def _is_heartbeat(known: Registration, registration: Registration) -> bool:
@@ -316,7 +316,7 @@
         registration.remaining if registration.state is TargetState.READY else None
     )
     return msgspec.structs.replace(
-        registration, sequence=0, cold=0.0, remaining=remaining, holdings=holdings
+        registration, sequence=0, warm_up=0.0, remaining=remaining, holdings=holdings
     )
 
 
--- a/src/ibishead/routing/changes.py
+++ b/src/ibishead/routing/changes.py
@@ -24,7 +24,7 @@
 
 #: Number of recent route sets kept, so that a receiver that is a few versions behind
 #: gets a difference.
-KEPT_SETS = 4
+MAX_RETAINED_SETS = 4
 
 #: Size from which data is compressed.
 PACK_MIN_BYTES = 1024
@@ -104,7 +104,7 @@
             return
         self._sets[routes.version] = routes
         self._encoded.clear()
-        while len(self._sets) > KEPT_SETS:
+        while len(self._sets) > MAX_RETAINED_SETS:
             self._sets.popitem(last=False)
 
     def encode(self, held: int) -> tuple[int, bytes]:
--- a/src/ibishead/routing/feed.py
+++ b/src/ibishead/routing/feed.py
@@ -42,11 +42,11 @@
 FEED_PACE = Pace(interval=0.9, silence=2.4, mutual=True)
 
 #: Initial and maximum delay between two attempts to reach a registry.
-REDIAL_FIRST = 0.1
-REDIAL_MOST = 0.3
+REDIAL_MIN_SECONDS = 0.1
+REDIAL_MAX_SECONDS = 0.3
 
 #: Time after which an unreachable registry that is not a seed is no longer dialled.
-FORGET_AFTER = 120.0
+FORGET_AFTER_SECONDS = 120.0
 
 #: Time after which an unanswered request for routes is sent to another registry.
 ROUTES_TIMEOUT_SECONDS = 0.5
@@ -61,12 +61,12 @@
     :param member: the record by which this program announces itself.
     :param seeds: link endpoints of the registries that are dialled first.
     :param on_routes: called with each route set that comes into force here.
-    :param on_statements: called with registrations that changed the view.
+    :param on_registrations: called with registrations that changed the view.
     :param on_members: called with new or changed members received from a registry.
     :param on_message: called with any other message from a registry.
     :ivar members: the known programs. A host may run one program of each kind.
     :ivar floors: the minimum version in force for each adapter.
-    :ivar floor_heard: when each floor was received, in monotonic seconds.
+    :ivar floor_received_at: when each floor was received, in monotonic seconds.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         clock: Clock,
         *,
         on_routes: Callable[[RouteSet], None] | None = None,
-        on_statements: Callable[[tuple[Registration, ...]], None] | None = None,
+        on_registrations: Callable[[tuple[Registration, ...]], None] | None = None,
         on_members: Callable[[list[MemberRecord]], None] | None = None,
         on_message: Callable[[Link, Message], None] | None = None,
         dialer: Dialer = dial,
@@ -90,12 +90,12 @@
             (member.host, member.kind): member
         }
         self.floors: dict[WeightKey, AdapterFloor] = {}
-        self.floor_heard: dict[WeightKey, float] = {}
+        self.floor_received_at: dict[WeightKey, float] = {}
         self.links: dict[Endpoint, Link] = {}
         self._floor_index = 0
         self._clock = clock
         self._on_routes = on_routes or _discard
-        self._on_statements = on_statements or _discard
+        self._on_registrations = on_registrations or _discard
         self._on_members = on_members or _discard
         self._on_message = on_message or _discard_message
         self._dial = dialer
@@ -116,7 +116,7 @@
 
     def start(self) -> None:
         """Start dialling the seeds."""
-        self.reseed(self._seeds)
+        self.replace_seeds(self._seeds)
         self._tasks.append(asyncio.create_task(self._run()))
 
     async def stop(self) -> None:
@@ -126,7 +126,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def reseed(self, seeds: tuple[Endpoint, ...]) -> None:
+    def replace_seeds(self, seeds: tuple[Endpoint, ...]) -> None:
         """Replace the seeds, and dial those that are new.
 
         Links to the previous seeds remain as long as these can be reached.
@@ -139,7 +139,7 @@
         """Return the known programs of one kind."""
         return [member for member in self.members.values() if member.kind is kind]
 
-    def list_log_keepers(self) -> list[tuple[MemberRecord, Link]]:
+    def list_log_registries(self) -> list[tuple[MemberRecord, Link]]:
         """Return the connected registries that have a log replica, with their links.
 
         Registries whose links are overdue are left out, unless all of them are.
@@ -154,7 +154,7 @@
         ]
         return [c for c in candidates if not c[1].overdue] or candidates
 
-    def meet(self, members: tuple[MemberRecord, ...]) -> list[MemberRecord]:
+    def merge_members(self, members: tuple[MemberRecord, ...]) -> list[MemberRecord]:
         """Merge members, and return those that are new or changed."""
         own = (self.member.host, self.member.kind)
         fresh = []
@@ -172,7 +172,7 @@
         """Return a service of the route set in force here, or none."""
         return None if self.routes is None else self.routes.service(name)
 
-    def tell(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send a message to every connected registry."""
         for link in self.links.values():
             link.send(message)
@@ -183,7 +183,7 @@
         self._link_tasks[endpoint] = asyncio.create_task(self._maintain_link(endpoint))
 
     async def _maintain_link(self, endpoint: Endpoint) -> None:
-        delay = REDIAL_FIRST
+        delay = REDIAL_MIN_SECONDS
         reached_at = self._clock.monotonic()
         while True:
             try:
@@ -199,17 +199,17 @@
                     "registry cannot be reached", extra={"reason": error.message}
                 )
             else:
-                delay = REDIAL_FIRST
+                delay = REDIAL_MIN_SECONDS
                 await self._receive(endpoint, link)
                 reached_at = self._clock.monotonic()
             if (
                 endpoint not in self._seeds
-                and self._clock.monotonic() - reached_at > FORGET_AFTER
+                and self._clock.monotonic() - reached_at > FORGET_AFTER_SECONDS
             ):
                 del self._link_tasks[endpoint]
                 return
             await asyncio.sleep(delay)
-            delay = min(2 * delay, REDIAL_MOST)
+            delay = min(2 * delay, REDIAL_MAX_SECONDS)
 
     async def _receive(self, endpoint: Endpoint, link: Link) -> None:
         logger.info("registry connected", extra={"peer": link.peer.host})
@@ -228,15 +228,15 @@
         now = self._clock.monotonic()
         match message:
             case Members(members):
-                if fresh := self.meet(members):
+                if fresh := self.merge_members(members):
                     self._on_members(fresh)
             case Statements(registrations):
                 changed = tuple(r for r in registrations if self.view.merge(r, now))
                 if changed:
-                    self._on_statements(changed)
+                    self._on_registrations(changed)
             case SignsOfLife(targets):
                 for target, born, sequence in targets:
-                    self.view.hear(target, born, sequence, now)
+                    self.view.record_heartbeat(target, born, sequence, now)
             case RouteNotice(version):
                 self._offered_versions[endpoint] = version
                 self._request_routes(now)
@@ -309,7 +309,7 @@
             known = self.floors.get(floor.key)
             if known is None or floor.version > known.version:
                 self.floors[floor.key] = floor
-                self.floor_heard[floor.key] = now
+                self.floor_received_at[floor.key] = now
                 logger.info(
                     "minimum adapter version in force",
                     extra={
@@ -328,7 +328,7 @@
             # Without a link to a registry no heartbeats arrive, so missing ones say
             # nothing about the targets
             if self.links:
-                self.view.forget(now, TARGET_TIMEOUT_SECONDS)
+                self.view.remove_expired(now, TARGET_TIMEOUT_SECONDS)
 
 
 _ROLES = {
--- a/src/ibishead/routing/messages.py
+++ b/src/ibishead/routing/messages.py
@@ -197,12 +197,12 @@
 class TurnAnswer(_Message, frozen=True):
     """Answer to `AskTurn`.
 
-    :param given: whether the request may be sent now. If so, its adapter is in use
+    :param granted: whether the request may be sent now. If so, its adapter is in use
         until `EndUse`.
     """
 
     number: int
-    given: bool
+    granted: bool
 
 
 class BeginUse(_Message, frozen=True):
@@ -271,13 +271,13 @@
 
     :param born: start of the engine, in milliseconds since 1970.
     :param holdings: the loaded models and adapters.
-    :param coming: adapters that are being loaded.
+    :param loading: adapters that are being loaded.
     :param running: requests in the engine's batch.
     :param queued: requests in the engine's queue.
     :param cache_used: tokens in the key-value cache that cannot be evicted.
     :param cache_total: capacity of the key-value cache in tokens.
     :param free_slots: adapter slots that are empty or hold an adapter not in use.
-    :param wished: adapters that requests wait for and whose load has not started.
+    :param awaited: adapters that requests wait for and whose load has not started.
     :param read_rate: prompt tokens that the engine processes per second, 0 if unknown.
     :param model_wait: seconds until a model is loaded, for an engine that has none.
     """
@@ -285,12 +285,12 @@
     target: TargetId
     born: int
     holdings: tuple[Holding, ...]
-    coming: tuple[tuple[WeightKey, AdapterRef], ...] = ()
+    loading: tuple[tuple[WeightKey, AdapterRef], ...] = ()
     running: int = 0
     queued: int = 0
     cache_used: int = 0
     cache_total: int = 0
     free_slots: int = 0
-    wished: tuple[WeightKey, ...] = ()
+    awaited: tuple[WeightKey, ...] = ()
     read_rate: float = 0.0
     model_wait: float = 0.0
--- a/src/ibishead/routing/targets.py
+++ b/src/ibishead/routing/targets.py
@@ -77,7 +77,7 @@
     :param born: start of the target, in milliseconds since 1970; distinguishes its
         incarnations.
     :param sequence: rises with each registration of an incarnation.
-    :param cold: seconds for which the target remains slow after its start.
+    :param warm_up: seconds for which the target remains slow after its start.
     :param remaining: seconds until the target ends, even if requests are running; none
         if not known.
     :param holdings: the loaded models and adapters.
@@ -91,7 +91,7 @@
     state: TargetState
     born: int
     sequence: int
-    cold: float = 0.0
+    warm_up: float = 0.0
     remaining: float | None = None
     holdings: tuple[Holding, ...] = ()
 
@@ -120,7 +120,7 @@
         """Return the newest registration of a target, or none."""
         return self._known.get(target)
 
-    def heard(self, target: TargetId) -> float:
+    def last_seen(self, target: TargetId) -> float:
         """Return when the target last registered or sent a heartbeat.
 
         :returns: monotonic seconds, 0 for an unknown target.
@@ -146,7 +146,9 @@
         self._last_seen[registration.target] = now
         return True
 
-    def hear(self, target: TargetId, born: int, sequence: int, now: float) -> bool:
+    def record_heartbeat(
+        self, target: TargetId, born: int, sequence: int, now: float
+    ) -> bool:
         """Record a heartbeat of a target.
 
         :param born: start of the incarnation that sent it.
@@ -162,7 +164,7 @@
             self._known[target] = msgspec.structs.replace(known, sequence=sequence)
         return True
 
-    def leave(self, target: TargetId, born: int, now: float) -> Registration | None:
+    def mark_gone(self, target: TargetId, born: int, now: float) -> Registration | None:
         """Mark a target as gone.
 
         :param born: start of the incarnation that ended, 0 if unspecified.
@@ -182,7 +184,7 @@
         self._last_seen[target] = now
         return gone
 
-    def list_service(self, service: ServiceName) -> list[Registration]:
+    def list_ready_targets(self, service: ServiceName) -> list[Registration]:
         """Return the ready targets of a service.
 
         Of several targets at one address only the newest counts.
@@ -198,7 +200,7 @@
             if found.service == service and found.state is TargetState.READY
         ]
 
-    def find_address(self, address: str) -> Registration | None:
+    def find_by_address(self, address: str) -> Registration | None:
         """Return the newest target at an address that is not gone, or none."""
         candidates = [
             found
@@ -207,7 +209,7 @@
         ]
         return max(candidates, key=lambda found: found.age, default=None)
 
-    def forget(self, now: float, silence: float) -> list[TargetId]:
+    def remove_expired(self, now: float, silence: float) -> list[TargetId]:
         """Remove expired targets.
 
         A target expires some time after it left, or without contact.
--- a/src/ibishead/steward/naming.py
+++ b/src/ibishead/steward/naming.py
@@ -81,10 +81,10 @@
         )
         if self._feed.view.merge(statement, self._clock.monotonic()):
             logger.info("engine named", extra={"target": name})
-            self._feed.tell(Statements((statement,)))
+            self._feed.broadcast(Statements((statement,)))
 
     def _is_unknown(self) -> bool:
-        return self._feed.view.find_address(self._address) is None
+        return self._feed.view.find_by_address(self._address) is None
 
 
 def _serves(state: EngineState, spec: EngineSpec) -> bool:
--- a/src/ibishead/steward/steward.py
+++ b/src/ibishead/steward/steward.py
@@ -184,7 +184,7 @@
                 self._uses.begin(link, key)
                 self._turns.note_sent(link, tokens)
             case RateTold(target, rate):
-                known = self._feed.view.find_address(self._address)
+                known = self._feed.view.find_by_address(self._address)
                 if known is not None and known.target == target:
                     self._set_limit(rate)
             case PromptRead(tokens, seconds):
@@ -226,14 +226,14 @@
         self._uses.end(waiter.link, waiter.key, self._clock.monotonic())
 
     def _tell_delay(self, seconds: float) -> None:
-        target = self._feed.view.find_address(self._address)
+        target = self._feed.view.find_by_address(self._address)
         if target is not None:
             self._tell_gateways(PromptDelay(target.target, round(seconds, 3)))
 
     def _note_outcome(self, failed: bool, now: float) -> None:
         self._failures.note(failed, now)
         share = self._failures.read(now)
-        target = self._feed.view.find_address(self._address)
+        target = self._feed.view.find_by_address(self._address)
         if target is None or abs(share - self._told_failures.read(now)) < FAILURE_STEP:
             return
         self._told_failures.set(share, now)
@@ -253,7 +253,7 @@
             logger.info("limit of the engine", extra={"requests_a_second": rate})
             self._limit = rate
             self._turns.set_limit(rate)
-            target = self._feed.view.find_address(self._address)
+            target = self._feed.view.find_by_address(self._address)
             if target is not None:
                 self._tell_gateways(RateTold(target.target, rate))
 
@@ -328,7 +328,7 @@
         self._turns.refuse_all()
         if self._reported is not None and self._reported.holdings:
             lost = msgspec.structs.replace(
-                self._reported, holdings=(), coming=(), model_wait=LOST_WAIT
+                self._reported, holdings=(), loading=(), model_wait=LOST_WAIT
             )
             self._tell(lost)
 
@@ -357,7 +357,7 @@
         state, spec = self._ledger.state, self._find_spec()
         if state is None or spec is None or state.busy or now < self._pause_until:
             return None
-        target = self._feed.view.find_address(self._address)
+        target = self._feed.view.find_by_address(self._address)
         if target is None or (state.born and target.born != state.born):
             return None
         # Failure: an order's answer is lost, and the engine may still carry it out,
@@ -371,7 +371,7 @@
             self._ledger.weigh(self._uses.last, self._uses.list_running(now)),
             self._list_wishes(now),
             self._feed.floors,
-            self._feed.floor_heard,
+            self._feed.floor_received_at,
             self._uses.reuse,
             now,
             self._place,
@@ -428,7 +428,7 @@
     def _ask_fence(self, now: float) -> None:
         if now - self._fence_asked < FENCE_WAIT:
             return
-        links = [link for _, link in self._feed.list_log_keepers()]
+        links = [link for _, link in self._feed.list_log_registries()]
         if not links:
             # who keeps the log isn't known before the first answer of a registry
             links = [link for link in self._feed.links.values() if not link.closed]
@@ -463,7 +463,10 @@
         return round(wait, 2)
 
     def _report(self, now: float) -> None:
-        state, target = self._ledger.state, self._feed.view.find_address(self._address)
+        state, target = (
+            self._ledger.state,
+            self._feed.view.find_by_address(self._address),
+        )
         if state is None or target is None:
             return
         coming, holdings = self._ledger.list_coming(), self._ledger.list_holdings()
@@ -485,7 +488,7 @@
         same = before is not None and (
             (before.target, before.born, before.holdings)
             == (report.target, report.born, report.holdings)
-            and (before.coming, before.wished) == (report.coming, report.wished)
+            and (before.loading, before.awaited) == (report.loading, report.awaited)
             and abs(before.model_wait - report.model_wait) < MODEL_WAIT_STEP
         )
         if report == before or (same and now - self._reported_at < REPORT_INTERVAL):
--- a/tests/gateway/test_book.py
+++ b/tests/gateway/test_book.py
@@ -137,7 +137,7 @@
 def test_an_adapter_that_is_waited_for_is_not_asked_for_elsewhere():
     """Eight engines fetch one adapter, each for another gateway."""
     book, other = TargetBook(), WeightKey(MODEL, "b")
-    book.take_report(make_report(wished=(other,)), 0.0)
+    book.take_report(make_report(awaited=(other,)), 0.0)
     assert describe(book, 0.1, other).adapter.wished
     mine = WeightKey(MODEL, "c")
     notes = book.notes(TARGET)
--- a/tests/registry/test_publisher.py
+++ b/tests/registry/test_publisher.py
@@ -66,11 +66,13 @@
         self.state.on_change = self.publisher.publish_state
 
     def meet(self, member):
-        self.publisher.publish_members(self.feed.meet((member,)), relayed=False)
+        self.publisher.publish_members(
+            self.feed.merge_members((member,)), relayed=False
+        )
 
     def receive_relayed(self, member):
         """Add a member as if another registry had sent it."""
-        self.publisher.publish_members(self.feed.meet((member,)), relayed=True)
+        self.publisher.publish_members(self.feed.merge_members((member,)), relayed=True)
 
     def subscribe(self, host, kind, target=""):
         link = RecordingLink()
--- a/tests/registry/test_service.py
+++ b/tests/registry/test_service.py
@@ -10,7 +10,7 @@
 from ibishead.ids import FailureDomain, HostId, ModelName, ReplicaId
 from ibishead.links import Endpoint
 from ibishead.metrics import Metrics
-from ibishead.registry.service import ElsewhereError, RegistryService
+from ibishead.registry.service import RedirectError, RegistryService
 from ibishead.registry.state import RouteState
 from ibishead.routing.feed import RegistryFeed
 from ibishead.routing.messages import MemberKind, MemberRecord
@@ -172,7 +172,7 @@
     )
     addresses = []
     for _ in range(4):
-        with pytest.raises(ElsewhereError) as caught:
+        with pytest.raises(RedirectError) as caught:
             await service.raise_floor(KEY, 2)
         addresses.append(caught.value.address)
     assert sorted(addresses) == sorted(2 * [member.operators for member in linked])
@@ -195,7 +195,7 @@
     )
     addresses = set()
     for _ in range(4):
-        with pytest.raises(ElsewhereError) as caught:
+        with pytest.raises(RedirectError) as caught:
             await service.raise_floor(KEY, 2)
         addresses.add(caught.value.address)
     assert addresses == expected
--- a/tests/routing/test_changes.py
+++ b/tests/routing/test_changes.py
@@ -7,7 +7,7 @@
 
 from ibishead.errors import InvalidInput
 from ibishead.routing.changes import (
-    KEPT_SETS,
+    MAX_RETAINED_SETS,
     PACK_MIN_BYTES,
     RouteChange,
     RouteHistory,
@@ -91,7 +91,7 @@
 
 def test_receiver_far_behind_gets_the_whole_set():
     history = RouteHistory()
-    for version in range(1, KEPT_SETS + 2):
+    for version in range(1, MAX_RETAINED_SETS + 2):
         history.add(make_set(version, {1: version}))
     assert history.encode(1)[0] == 0
     assert history.encode(2)[0] == 2
--- a/tests/routing/test_targets.py
+++ b/tests/routing/test_targets.py
@@ -26,7 +26,9 @@
 
 
 def list_ready(view: TargetView) -> list[str]:
-    return sorted(found.target for found in view.list_service(ServiceName("plans")))
+    return sorted(
+        found.target for found in view.list_ready_targets(ServiceName("plans"))
+    )
 
 
 def test_late_registration_does_not_restore_an_ended_target():
@@ -59,9 +61,9 @@
 def test_leave_of_an_earlier_incarnation_is_ignored():
     view = TargetView()
     view.merge(make_registration(born=200), 1.0)
-    assert view.leave(TargetId("t1"), 100, 2.0) is None
+    assert view.mark_gone(TargetId("t1"), 100, 2.0) is None
     assert list_ready(view) == ["t1"]
-    assert view.leave(TargetId("t1"), 200, 3.0) is not None
+    assert view.mark_gone(TargetId("t1"), 200, 3.0) is not None
     assert list_ready(view) == []
 
 
@@ -90,7 +92,7 @@
 def test_silent_targets_expire(state, silent_for, kept):
     view = TargetView()
     view.merge(make_registration(state=state), 0.0)
-    view.forget(silent_for, 45.0)
+    view.remove_expired(silent_for, 45.0)
     assert (view.get(TargetId("t1")) is not None) is kept
 
 
@@ -98,7 +100,7 @@
     view = TargetView()
     registration = make_registration(born=200)
     view.merge(registration, 1.0)
-    assert not view.hear(TargetId("t1"), 100, 7, 5.0)
-    assert view.heard(TargetId("t1")) == 1.0
-    assert view.hear(TargetId("t1"), 200, 7, 6.0)
+    assert not view.record_heartbeat(TargetId("t1"), 100, 7, 5.0)
+    assert view.last_seen(TargetId("t1")) == 1.0
+    assert view.record_heartbeat(TargetId("t1"), 200, 7, 6.0)
     assert view.get(TargetId("t1")) == msgspec.structs.replace(registration, sequence=7)
--- a/tests/steward/test_steward.py
+++ b/tests/steward/test_steward.py
@@ -100,7 +100,7 @@
     def answered(self, number: int) -> bool | None:
         for message in self.sent:
             if isinstance(message, TurnAnswer) and message.number == number:
-                return message.given
+                return message.granted
         return None
 
 
@@ -330,11 +330,11 @@
     setting = Setting(FreshEngine())
     setting.feed.view = TargetView()
     told = []
-    setting.feed.tell = told.append
+    setting.feed.broadcast = told.append
     async with setting:
         asking = asyncio.create_task(setting.want(1, "a", wait=0.3))
         await asking
-        known = setting.feed.view.find_address(ADDRESS)
+        known = setting.feed.view.find_by_address(ADDRESS)
         assert (known is not None) == named
         assert [message.registrations for message in told] == [(known,)] * named
         if named and state.get("holdings") is None:
@@ -343,10 +343,10 @@
 
 async def test_what_an_engine_says_of_itself_goes_before_its_steward_s_word():
     setting = Setting(FakeEngine())
-    announced = setting.feed.view.find_address(ADDRESS)
+    announced = setting.feed.view.find_by_address(ADDRESS)
     setting.feed.view = TargetView()
     async with setting:
-        while (stated := setting.feed.view.find_address(ADDRESS)) is None:
+        while (stated := setting.feed.view.find_by_address(ADDRESS)) is None:
             await asyncio.sleep(0.01)
         assert stated.target == "t9"
         own = msgspec.structs.replace(announced, target=stated.target)
--- a/tests/steward/test_turns.py
+++ b/tests/steward/test_turns.py
@@ -50,7 +50,7 @@
     @property
     def answers(self) -> list[tuple[int, bool]]:
         found = [m for m in self.link.sent if isinstance(m, TurnAnswer)]
-        return [(m.number, m.given) for m in found]
+        return [(m.number, m.granted) for m in found]
 
 
 async def test_prompts_of_several_gateways_are_spread_over_time():
