--- a/src/ibishead/routing/targets.py
+++ b/src/ibishead/routing/targets.py
@@ -170,7 +170,7 @@
         :param born: start of the incarnation that ended, 0 if unspecified.
         :param now: monotonic seconds.
         :returns: the resulting registration; none if the target is unknown, already
-            gone, or known by another incarnation.
+            gone, or known in another incarnation.
         """
         known = self._known.get(target)
         if known is None or known.state is TargetState.GONE:
