--- a/src/ibishead/routing/messages.py
+++ b/src/ibishead/routing/messages.py
@@ -219,8 +219,8 @@
     """A request that began with `BeginUse` or a granted `AskTurn` has ended.
 
     :param pause: longest pause in its answer in seconds, 0 if there was none.
-    :param failed: whether the engine failed; none if the request ended for a reason
-        that says nothing about the engine.
+    :param failed: whether the engine failed; none if the request ended for reasons
+        other than the engine's answer or failure.
     """
 
     key: WeightKey
--- a/src/ibishead/routing/routes.py
+++ b/src/ibishead/routing/routes.py
@@ -145,8 +145,8 @@
 
     :param header_bytes: maximum size of a request's headers.
     :param body_bytes: maximum size of a request's body.
-    :param header_time: maximum seconds until the headers are complete.
-    :param idle_time: maximum seconds for which a connection may be idle.
+    :param header_time: maximum seconds for the headers to arrive, from the first byte.
+    :param idle_time: maximum seconds for which an open connection waits for a request.
     """
 
     header_bytes: int = 16 * 1024
