--- a/src/ibishead/steward/steward.py
+++ b/src/ibishead/steward/steward.py
@@ -334,7 +334,7 @@
             lost = msgspec.structs.replace(
                 self._reported,
                 holdings=(),
-                coming=(),
+                loading=(),
                 model_wait=UNREACHABLE_WAIT_SECONDS,
             )
             self._tell(lost)
