--- a/src/ibishead/gateway/choosing.py
+++ b/src/ibishead/gateway/choosing.py
@@ -99,7 +99,7 @@
         view, now = self._feed.view, self._clock.monotonic()
         hold = compute_hold(request.call.timeout)
         end = min(now + hold, self._started_at + DISCOVERY_SECONDS)
-        while now < end and not view.list_service(request.service):
+        while now < end and not view.list_ready_targets(request.service):
             await asyncio.sleep(DISCOVERY_POLL_SECONDS)
             now = self._clock.monotonic()
 
@@ -203,7 +203,7 @@
         candidates = [
             self._tracker.make_candidate(
                 target,
-                self._feed.view.heard(target.target) if self._feed.links else now,
+                self._feed.view.last_seen(target.target) if self._feed.links else now,
                 now,
                 key,
                 min_version,
@@ -211,7 +211,7 @@
                 spec,
                 self._stewards.is_unresponsive(target.address),
             )
-            for target in self._feed.view.list_service(request.service)
+            for target in self._feed.view.list_ready_targets(request.service)
         ]
         need = Need(
             self._domain,
--- a/src/ibishead/gateway/tracker.py
+++ b/src/ibishead/gateway/tracker.py
@@ -314,9 +314,11 @@
             resident = serving
         awaited = set(stats.awaited)
         if report is not None:
-            awaited.update(report.wished)
-            awaited.difference_update(key for key, _ in report.coming)
-        loading = report is not None and any(key == weights for key, _ in report.coming)
+            awaited.update(report.awaited)
+            awaited.difference_update(key for key, _ in report.loading)
+        loading = report is not None and any(
+            key == weights for key, _ in report.loading
+        )
         return AdapterState(
             resident=resident and weights not in stats.missing,
             loading=loading and manageable,
--- a/tests/gateway/test_tracker.py
+++ b/tests/gateway/test_tracker.py
@@ -154,7 +154,7 @@
     engine's pending loads include those for this gateway and for the others.
     """
     tracker, other = TargetTracker(), WeightKey(MODEL, "b")
-    tracker.record_report(make_report(wished=(other,)), 0.0)
+    tracker.record_report(make_report(awaited=(other,)), 0.0)
     assert describe(tracker, 0.1, other).adapter.requested
     own = WeightKey(MODEL, "c")
     stats = tracker.stats(TARGET)
