--- a/src/ibishead/entry/dispatching.py
+++ b/src/ibishead/entry/dispatching.py
@@ -339,7 +339,7 @@
             request_class.idempotent,
             job.deadline - self._clock.monotonic(),
             job.relay.delivered,
-            unseen=undelivered,
+            not_received=undelivered,
             lost=job.undelivered,
         )
         retry_after = result.retry_after or DEFAULT_RETRY_AFTER_SECONDS
--- a/src/ibishead/entry/placing.py
+++ b/src/ibishead/entry/placing.py
@@ -189,8 +189,8 @@
             draw=self._rng.random(),
             expected_wait=placed.expected_wait if placed else 0.0,
             needs_load=placed.needs_load if placed else False,
-            wishes=sum(item.wishes for item in available),
-            age=self._find_report_age(available),
+            pending_loads=sum(item.pending_loads for item in available),
+            report_age=self._find_report_age(available),
         )
 
     def _find_report_age(self, available: list[TargetView]) -> float:
@@ -229,7 +229,7 @@
 def _count_waiting(view: TargetView) -> int:
     # Requests that wait for an adapter load do not wait for a slot in the batch, and a
     # request gets a slot at once while the batch has room
-    ready = view.running + view.queued + view.recent - view.stalled
+    ready = view.running + view.queued + view.recent_dispatches - view.stalled
     return max(ready - view.batch, 0)
 
 
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -1,17 +1,17 @@
-"""Which target gets a request, under the loads that the choice is made for."""
+"""Tests of target selection under the loads that it is designed for."""
 
 import random
 
 import pytest
 
-from ibishead.decisions.choice import AdapterPlace, Candidate, Need, choose_target
+from ibishead.decisions.choice import AdapterState, Candidate, Need, choose_target
 from ibishead.ids import FailureDomain, ModelName, TargetId
 from ibishead.routing.targets import WeightKey
 
 HERE, THERE = FailureDomain("here"), FailureDomain("there")
 KEY = WeightKey(ModelName("m"), "a1")
 
-#: Callers in a second while an engine comes back, a few more than the others can bear.
+#: Requests per second while an engine restarts, slightly above the others' capacity.
 CALLERS = 120
 
 
@@ -29,46 +29,55 @@
     ("candidates", "expected"),
     [
         ((make("a", 5), make("b", 1)), "b"),
-        ((make("a", 0, unreached=True), make("b", 9)), "b"),
+        ((make("a", 0, unreachable=True), make("b", 9)), "b"),
         ((make("a", 0, failures=1.0), make("b", 7)), "b"),
-        ((make("a", 0, pace=4.0), make("b", 0, domain=THERE)), "a"),
-        ((make("a", 6, pace=4.0), make("b", 6)), "b"),
+        ((make("a", 0, relative_run_time=4.0), make("b", 0, domain=THERE)), "a"),
+        ((make("a", 6, relative_run_time=4.0), make("b", 6)), "b"),
         ((make("a", 0, prompt_backlog=20_000), make("b", 4)), "b"),
         ((make("a", 0, domain=THERE), make("b", 0)), "b"),
-        ((make("a", 0, share_wait=1.0), make("b", 9)), "b"),
+        ((make("a", 0, rate_limit_wait=1.0), make("b", 9)), "b"),
         ((), None),
     ],
 )
-def test_the_least_delay_wins(candidates, expected):
+def test_least_delay_is_chosen(candidates, expected):
     assert choose(*candidates) == expected
 
 
 @pytest.mark.parametrize(
     ("places", "expected"),
     [
-        ({"a": AdapterPlace(resident=True), "b": AdapterPlace()}, "a"),
-        ({"a": AdapterPlace(), "b": AdapterPlace(coming=True)}, "b"),
-        ({"a": AdapterPlace(room=0, wishes=3), "b": AdapterPlace(room=2)}, "b"),
-        ({"a": AdapterPlace(manageable=False), "b": AdapterPlace(wishes=5)}, "b"),
-        ({"a": AdapterPlace(manageable=False)}, None),
+        ({"a": AdapterState(resident=True), "b": AdapterState()}, "a"),
+        ({"a": AdapterState(), "b": AdapterState(loading=True)}, "b"),
         (
             {
-                "a": AdapterPlace(serving=False, model_wait=4.0),
-                "b": AdapterPlace(wishes=5),
+                "a": AdapterState(free_slots=0, pending_loads=3),
+                "b": AdapterState(free_slots=2),
             },
             "b",
         ),
-        ({"a": AdapterPlace(serving=False)}, "a"),
+        (
+            {"a": AdapterState(manageable=False), "b": AdapterState(pending_loads=5)},
+            "b",
+        ),
+        ({"a": AdapterState(manageable=False)}, None),
+        (
+            {
+                "a": AdapterState(serving=False, model_wait=4.0),
+                "b": AdapterState(pending_loads=5),
+            },
+            "b",
+        ),
+        ({"a": AdapterState(serving=False)}, "a"),
     ],
 )
-def test_adapter_and_slots_are_weighed_with_load(places, expected):
+def test_adapter_state_and_slots_count_besides_load(places, expected):
     candidates = [make(name, adapter=place) for name, place in places.items()]
     assert choose(*candidates, need=Need(HERE, KEY)) == expected
 
 
-def test_gateways_that_know_nothing_of_each_other_choose_the_same_engine():
-    """An adapter is loaded on two engines where one would do."""
-    candidates = [make(f"e{n}", adapter=AdapterPlace()) for n in range(9)]
+def test_gateways_choose_same_engine_without_communication():
+    """Guards against loading an adapter on two engines where one would suffice."""
+    candidates = [make(f"e{n}", adapter=AdapterState()) for n in range(9)]
     for number in range(50):
         need = Need(HERE, WeightKey(ModelName("m"), f"a{number}"), run_time=1.4)
         draws = [random.Random(seed).random for seed in (1, 2)]
@@ -76,8 +85,11 @@
         assert len(picks) == 1
 
 
-def test_equal_targets_share_a_burst():
-    """A burst meets equal reports at eight gateways; one target must not get it all."""
+def test_burst_is_spread_over_equal_targets():
+    """Guards against a burst that goes to one target from all gateways.
+
+    Eight gateways see the same reports at the same time.
+    """
     draw = random.Random(3).random
     counts = dict.fromkeys("abcd", 0)
     for _ in range(400):
@@ -85,7 +97,7 @@
     assert min(counts.values()) > 60
 
 
-def test_what_is_to_be_avoided_is_not_chosen():
+def test_avoided_target_is_not_chosen():
     need = Need(HERE, avoid=frozenset({TargetId("a")}))
     assert choose(make("a"), make("b", 7), need=need) == "b"
 
@@ -93,36 +105,57 @@
 @pytest.mark.parametrize(
     ("places", "expected"),
     [
-        ({"a": AdapterPlace(), "b": AdapterPlace(recent=True)}, "b"),
-        ({"a": AdapterPlace(), "b": AdapterPlace(recent=True, room=2, wishes=1)}, "b"),
-        ({"a": AdapterPlace(), "b": AdapterPlace(recent=True, room=0, wishes=1)}, "a"),
-        ({"a": AdapterPlace(resident=True), "b": AdapterPlace(recent=True)}, "a"),
-        ({"a": AdapterPlace(wished=True, wishes=3), "b": AdapterPlace(wishes=1)}, "a"),
-        ({"a": AdapterPlace(wished=True), "b": AdapterPlace(coming=True)}, "b"),
+        ({"a": AdapterState(), "b": AdapterState(recent=True)}, "b"),
+        (
+            {
+                "a": AdapterState(),
+                "b": AdapterState(recent=True, free_slots=2, pending_loads=1),
+            },
+            "b",
+        ),
+        (
+            {
+                "a": AdapterState(),
+                "b": AdapterState(recent=True, free_slots=0, pending_loads=1),
+            },
+            "a",
+        ),
+        ({"a": AdapterState(resident=True), "b": AdapterState(recent=True)}, "a"),
+        (
+            {
+                "a": AdapterState(requested=True, pending_loads=3),
+                "b": AdapterState(pending_loads=1),
+            },
+            "a",
+        ),
+        ({"a": AdapterState(requested=True), "b": AdapterState(loading=True)}, "b"),
     ],
 )
-def test_an_engine_that_held_the_adapter_before_comes_next(places, expected):
+def test_engine_that_held_adapter_before_is_preferred(places, expected):
     candidates = [make(name, adapter=place) for name, place in places.items()]
     assert choose(*candidates, need=Need(HERE, KEY)) == expected
 
 
 @pytest.mark.parametrize(("waits", "expected"), [(0.3, "a"), (0.6, "b")])
-def test_a_further_copy_is_made_only_where_the_wait_is_long(waits, expected):
-    """Every engine fetches every adapter, and all wait for the store."""
-    holder = make("a", prompt_wait=waits, adapter=AdapterPlace(resident=True))
-    other = make("b", adapter=AdapterPlace())
+def test_another_copy_is_loaded_only_for_a_long_wait(waits, expected):
+    """Guards against every engine fetching every adapter, which overloads the store."""
+    holder = make("a", prompt_wait=waits, adapter=AdapterState(resident=True))
+    other = make("b", adapter=AdapterState())
     assert choose(holder, other, need=Need(HERE, KEY)) == expected
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_thousands_of_adapters_are_fetched_little_more_than_once(seed):
-    """The store is asked for all it can give, and callers wait a second for a load."""
+def test_adapters_are_rarely_fetched_more_than_once(seed):
+    """Guards against fetching adapters repeatedly, which saturates the store.
+
+    Callers then wait one second for a load.
+    """
     rng = random.Random(seed)
     names, weights = range(3000), [(n + 1) ** -1.2 for n in range(3000)]
     slots: dict[str, list[str]] = {f"e{n}": [] for n in range(9)}
     held: dict[str, set[str]] = {name: set() for name in slots}
     busy = dict.fromkeys(slots, 0.0)
-    asked = set()
+    requested_adapters = set()
     for adapter in map(str, rng.choices(names, weights, k=3000)):
         busy = {name: max(0.0, count - 0.115) for name, count in busy.items()}
         candidates = [
@@ -131,7 +164,7 @@
                 round(busy[name]),
                 slots=48,
                 prompt_wait=max(0.0, 0.1 * busy[name] - 0.15),
-                adapter=AdapterPlace(
+                adapter=AdapterState(
                     resident=adapter in slots[name], recent=adapter in held[name]
                 ),
             )
@@ -142,16 +175,16 @@
         busy[target] += 1
         slots[target] = [*(a for a in slots[target] if a != adapter), adapter][-19:]
         held[target].add(adapter)
-        asked.add(adapter)
+        requested_adapters.add(adapter)
     fetched = sum(len(found) for found in held.values())
-    assert fetched < 1.1 * len(asked)
+    assert fetched < 1.1 * len(requested_adapters)
 
 
-def play_return(seed: int) -> float:
-    """Return the longest wait, in seconds, while one of nine engines comes back.
+def simulate_restart(seed: int) -> float:
+    """Return the longest wait, in seconds, while one of nine engines restarts.
 
-    CALLERS a second want adapters of their own. The engine holds its model again after
-    0.6 s, and each engine loads three adapters at once in a quarter of a second.
+    `CALLERS` requests per second need one adapter each. The engine has its model loaded
+    after 0.6 s, and each engine loads three adapters concurrently in 0.25 s.
     """
     draw = random.Random(seed)
     names = [TargetId(f"i-{n}") for n in range(9)]
@@ -167,9 +200,9 @@
                 HERE,
                 busy=0 if name == names[0] else 12,
                 slots=32,
-                adapter=AdapterPlace(
-                    room=9,
-                    wishes=sum(start > now for start, _ in loads[name]),
+                adapter=AdapterState(
+                    free_slots=9,
+                    pending_loads=sum(start > now for start, _ in loads[name]),
                     serving=name != names[0] or now >= 0.6,
                     model_wait=max(0.1, 0.6 - now),
                 ),
@@ -188,9 +221,12 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_an_engine_that_comes_back_gets_no_more_than_it_loads_in_time(seed):
-    """Callers wait over a second although eight engines could serve them at once."""
-    assert play_return(seed) < 0.8
+def test_restarting_engine_gets_no_more_than_it_can_load_in_time(seed):
+    """Guards against a restarting engine that attracts all requests as it looks idle.
+
+    Callers then wait over a second although eight engines could serve them at once.
+    """
+    assert simulate_restart(seed) < 0.8
 
 
 @pytest.mark.parametrize(
@@ -198,20 +234,20 @@
     [
         (20, 0, "holder"),
         (30, 0, "holder"),
-        # a queue behind the batch, or prompts before it, are worth a copy elsewhere
+        # A queue behind the batch or a prompt backlog justifies another copy.
         (44, 0, "idle"),
         (20, 20_000, "idle"),
     ],
 )
-def test_a_busy_engine_that_holds_the_adapter_is_asked_first(busy, backlog, expected):
-    """Every adapter is brought to two engines, and evicts another one at each."""
+def test_busy_engine_with_adapter_is_preferred(busy, backlog, expected):
+    """Guards against loading every adapter on two engines, evicting another at each."""
     holder = make(
         "holder",
         busy,
         slots=32,
         prompt_backlog=backlog,
-        adapter=AdapterPlace(resident=True),
+        adapter=AdapterState(resident=True),
     )
-    idle = make("idle", 0, slots=32, adapter=AdapterPlace())
+    idle = make("idle", 0, slots=32, adapter=AdapterState())
     need = Need(HERE, KEY, run_time=1.4)
     assert choose(holder, idle, need=need) == expected
