--- a/src/ibishead/documents.py
+++ b/src/ibishead/documents.py
@@ -1,7 +1,7 @@
-"""Service documents: one INI text for each service, checked whole.
+"""Service documents: one INI text for each service, with full validation.
 
-The text that was submitted is what is stored and replicated; every program parses
-it for itself with `parse_document`.
+The submitted text is stored and replicated unchanged; every program parses it with
+`parse_document`.
 """
 
 import functools
@@ -42,24 +42,30 @@
     "parse_document",
 ]
 
-#: Largest document in characters: tens of thousands of adapters with own sections.
-MAX_DOCUMENT = 4 * 1024 * 1024
+#: Largest document; room for tens of thousands of adapters with sections of their own.
+MAX_DOCUMENT_CHARACTERS = 4 * 1024 * 1024
 
-#: Largest weight of a caller's share.
+#: Largest weight of a caller in fair sharing.
 MAX_SHARE = 1000.0
 
-#: Highest priority of a class.
+#: Highest priority of a request class.
 MAX_PRIORITY = 9
 
-_GROUPS = ("adapter", "class", "route", "caller", "operator")
-_METHODS = frozenset({"*", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"})
-_MODEL = re.compile(r"[A-Za-z0-9][A-Za-z0-9._/:-]{0,199}")
-_BRACES = re.compile(r"\{[^{}]*\}|[{}]")
+_SECTION_GROUPS = ("adapter", "class", "route", "caller", "operator")
+_HTTP_METHODS = frozenset(
+    {"*", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
+)
+_MODEL_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._/:-]{0,199}")
+_BRACES_PATTERN = re.compile(r"\{[^{}]*\}|[{}]")
 _PLACEHOLDERS = frozenset({"{adapter}", "{version}"})
 
 
 class Unconfirmed(Enum):
-    """What an entry host does when it can't confirm that its document is current."""
+    """What an entry host does when it can't confirm that its document is current.
+
+    :ivar REFUSE: refuse requests.
+    :ivar SERVE: serve them nevertheless.
+    """
 
     REFUSE = "refuse"
     SERVE = "serve"
@@ -67,10 +73,11 @@
 
 @dataclass(frozen=True)
 class Adapter:
-    """An adapter and the versions that may be asked for.
+    """An adapter and the versions of it that callers may request.
 
-    :param default: the version meant when a caller names none.
-    :param source: where the engine finds the weights; ``{version}`` is filled in.
+    :param default: the version to use if a request specifies none.
+    :param source: the location from which the engine loads the weights, with
+        ``{version}`` as a placeholder.
     """
 
     name: AdapterName
@@ -81,10 +88,11 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """Requests that are treated alike.
+    """A class of requests that share priority, deadline and idempotency.
 
-    :param priority: 0 to 9, higher goes first.
-    :param deadline: after which an answer is worthless.
+    :param priority: 0 to 9; higher values are served first.
+    :param deadline: the time after which the caller has no more use for an answer.
+    :param idempotent: whether a request may be run more than once.
     """
 
     name: ClassName
@@ -95,10 +103,10 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Which calls of a plain service belong to which class.
+    """Assigns calls of a plain service to a request class.
 
-    :param method: an HTTP method, or ``*``.
-    :param path: a path prefix behind ``/services/NAME``.
+    :param method: an HTTP method, or ``*`` for any.
+    :param path: a prefix of the path after ``/services/NAME``.
     """
 
     method: str
@@ -108,10 +116,10 @@
 
 @dataclass(frozen=True)
 class Caller:
-    """A key that may call the service, kept as SHA-256.
+    """An API key that may call the service, stored as its SHA-256 digest.
 
-    :param team: whose fair share the calls count against.
-    :param share: weight of that share.
+    :param team: the team whose fair share the calls are charged to.
+    :param share: the weight of that share.
     """
 
     name: str
@@ -122,11 +130,12 @@
 
 @dataclass(frozen=True)
 class ServiceDocument:
-    """A checked service document.
+    """A validated service document.
 
-    :param stall_weight: 0 weighs batch efficiency only, 1 load stalls only.
-    :param claim_retention: how long outcomes of non-idempotent requests are kept.
-    :param operators: SHA-256 of keys that may submit the next revision.
+    :param stall_weight: the weight of load stalls against batch efficiency, from 0 to
+        1; 0 considers batch efficiency only, 1 load stalls only.
+    :param claim_retention: how long outcomes of non-idempotent requests are stored.
+    :param operators: SHA-256 digests of the keys that may submit the next revision.
     """
 
     service: ServiceName
@@ -145,15 +154,16 @@
 
 
 def parse_document(text: str) -> ServiceDocument:
-    """Return the document that an INI text holds.
+    """Return the service document parsed from an INI text.
 
-    :raises InvalidInput: with `DOCUMENT_INVALID`, all faults in the message.
+    :raises InvalidInput: the document is invalid; the code is `DOCUMENT_INVALID` and
+        the message lists all faults.
     """
     document, faults = check_document(text)
     if document is None:
         raise InvalidInput(
             f"the document has {len(faults)} fault(s):\n{describe_faults(faults)}",
-            "mend them and run ibishead check FILE",
+            "correct them and run ibishead check FILE",
             code=ErrorCode.DOCUMENT_INVALID,
         )
     return document
@@ -162,17 +172,20 @@
 def check_document(
     text: str,
 ) -> tuple[ServiceDocument | None, tuple[DocumentFault, ...]]:
-    """Return the document, or none and every fault that was found."""
-    if len(text) > MAX_DOCUMENT:
+    """Return the document and no faults, or none and all faults that were found."""
+    if len(text) > MAX_DOCUMENT_CHARACTERS:
         fault = DocumentFault(
-            "", "", f"longer than {MAX_DOCUMENT} characters", "use [adapters] lines"
+            "",
+            "",
+            f"longer than {MAX_DOCUMENT_CHARACTERS} characters",
+            "use [adapters] lines",
         )
         return None, (fault,)
     ini = IniFile(text)
-    if not ini.names and ini.faults:
+    if not ini.section_names and ini.faults:
         return None, tuple(ini.faults)
     document = _read_service(ini)
-    ini.refuse_others(_GROUPS)
+    ini.report_unknown_sections(_SECTION_GROUPS)
     if ini.faults:
         return None, tuple(ini.faults)
     return document, ()
@@ -180,14 +193,14 @@
 
 def _read_service(ini: IniFile) -> ServiceDocument:
     section = ini.open_section("service", required=True)
-    kind = section.need("kind", parse_choice(TargetKind), TargetKind.ENGINE)
+    kind = section.read_required("kind", parse_choice(TargetKind), TargetKind.ENGINE)
     classes = _read_classes(ini)
     document = ServiceDocument(
-        service=ServiceName(section.need("name", parse_name, "")),
-        team=TeamId(section.need("team", parse_name, "")),
+        service=ServiceName(section.read_required("name", parse_name, "")),
+        team=TeamId(section.read_required("team", parse_name, "")),
         kind=kind,
         model=_read_model(section, kind),
-        default_class=ClassName(section.need("default_class", parse_name, "")),
+        default_class=ClassName(section.read_required("default_class", parse_name, "")),
         classes=classes,
         adapters=_read_adapters(ini, section, kind),
         routes=_read_routes(ini, kind, classes),
@@ -201,9 +214,9 @@
             "unconfirmed", parse_choice(Unconfirmed), Unconfirmed.REFUSE
         ),
     )
-    section.refuse_others()
+    section.report_unknown_options()
     if document.default_class and document.default_class not in classes:
-        _blame_class(section, "default_class", document.default_class)
+        _add_unknown_class_fault(section, "default_class", document.default_class)
     _check_retention(section, document)
     return document
 
@@ -211,24 +224,26 @@
 def _read_model(section: IniSection, kind: TargetKind) -> ModelName:
     match kind:
         case TargetKind.ENGINE:
-            return ModelName(section.need("model", _parse_model, ""))
+            return ModelName(section.read_required("model", _parse_model, ""))
         case TargetKind.PLAIN:
             if "model" in section.options:
-                section.blame("model", "a plain service has no model", "remove it")
+                section.add_fault(
+                    "model", "a plain service has no model", "remove this option"
+                )
             return ModelName(section.read("model", parse_text, ""))
 
 
 def _check_retention(section: IniSection, document: ServiceDocument) -> None:
-    # A claim forgotten while its request may still run lets a resend run it twice
-    longest = max(
+    # If a claim expired while its request may still run, a retry could run it again
+    longest_deadline = max(
         (c.deadline for c in document.classes.values() if not c.idempotent),
         default=timedelta(),
     )
-    if document.claim_retention < longest:
-        section.blame(
+    if document.claim_retention < longest_deadline:
+        section.add_fault(
             "claim_retention",
             "shorter than the deadline of a class that is not idempotent",
-            f"keep claims for {longest.total_seconds():g} s at least",
+            f"set at least {longest_deadline.total_seconds():g} s",
         )
 
 
@@ -237,11 +252,15 @@
     for name, section in ini.open_group("class"):
         classes[ClassName(name)] = RequestClass(
             name=ClassName(name),
-            priority=section.need("priority", parse_integer(0, MAX_PRIORITY), 0),
-            deadline=section.need("deadline", parse_duration, timedelta(seconds=1)),
-            idempotent=section.need("idempotent", parse_boolean, True),
+            priority=section.read_required(
+                "priority", parse_integer(0, MAX_PRIORITY), 0
+            ),
+            deadline=section.read_required(
+                "deadline", parse_duration, timedelta(seconds=1)
+            ),
+            idempotent=section.read_required("idempotent", parse_boolean, True),
         )
-        section.refuse_others()
+        section.report_unknown_options()
     return classes
 
 
@@ -250,30 +269,38 @@
 ) -> dict[AdapterName, Adapter]:
     template = service.read("adapter_source", _parse_source, "")
     adapters: dict[AdapterName, Adapter] = {}
-    compact = ini.open_section("adapters")
-    for name, versions in compact.read_all(_parse_versions).items():
+    list_section = ini.open_section("adapters")
+    for name, versions in list_section.read_all(_parse_versions).items():
         if not template:
-            compact.blame(name, "no source", "add adapter_source to [service]")
+            list_section.add_fault(
+                name, "has no source", "add adapter_source to [service]"
+            )
         adapters[AdapterName(name)] = _make_adapter(name, versions, "", template)
     for name, section in ini.open_group("adapter"):
         if name in adapters:
-            section.blame("", "also stands in [adapters]", "keep one of them")
+            section.add_fault("", "also listed in [adapters]", "keep one of them")
         adapters[AdapterName(name)] = _read_adapter(name, section, template)
-        section.refuse_others()
+        section.report_unknown_options()
     if adapters and kind is TargetKind.PLAIN:
-        service.blame("kind", "a plain service has no adapters", "remove them")
+        service.add_fault(
+            "kind", "a plain service has no adapters", "remove the adapters"
+        )
     return adapters
 
 
 def _read_adapter(name: str, section: IniSection, template: str) -> Adapter:
     versions: tuple[str, ...] = ()
-    versions = section.need("versions", _parse_versions, versions)
+    versions = section.read_required("versions", _parse_versions, versions)
     default = section.read("default", parse_name, "")
     if default and versions and default not in versions:
-        section.blame("default", "not among the versions", "name one of versions")
+        section.add_fault(
+            "default", "not among the versions", "use one of the versions"
+        )
     source = section.read("source", _parse_source, template)
     if not source:
-        section.blame("source", "missing", "add source, or adapter_source to [service]")
+        section.add_fault(
+            "source", "missing", "add source, or adapter_source to [service]"
+        )
     return _make_adapter(name, versions, default, source)
 
 
@@ -295,14 +322,16 @@
     for _, section in ini.open_group("route"):
         route = Route(
             method=section.read("method", _parse_method, "*"),
-            path=section.need("path", _parse_path, "/"),
-            request_class=ClassName(section.need("class", parse_name, "")),
+            path=section.read_required("path", _parse_path, "/"),
+            request_class=ClassName(section.read_required("class", parse_name, "")),
         )
-        section.refuse_others()
+        section.report_unknown_options()
         if kind is TargetKind.ENGINE:
-            section.blame("", "only plain services have routes", "remove the section")
+            section.add_fault(
+                "", "only plain services have routes", "remove the section"
+            )
         if route.request_class and route.request_class not in classes:
-            _blame_class(section, "class", route.request_class)
+            _add_unknown_class_fault(section, "class", route.request_class)
         routes.append(route)
     return tuple(routes)
 
@@ -312,11 +341,11 @@
     for name, section in ini.open_group("caller"):
         caller = Caller(
             name=name,
-            team=TeamId(section.need("team", parse_name, "")),
-            key_sha256=section.need("key_sha256", parse_digest, ""),
+            team=TeamId(section.read_required("team", parse_name, "")),
+            key_sha256=section.read_required("key_sha256", parse_digest, ""),
             share=section.read("share", parse_number(0.001, MAX_SHARE), 1.0),
         )
-        section.refuse_others()
+        section.report_unknown_options()
         _check_key(section, caller.key_sha256, callers)
         callers[caller.key_sha256] = caller
     return tuple(callers.values())
@@ -325,36 +354,40 @@
 def _read_operators(ini: IniFile) -> tuple[str, ...]:
     keys: dict[str, str] = {}
     for name, section in ini.open_group("operator"):
-        key = section.need("key_sha256", parse_digest, "")
-        section.refuse_others()
+        key = section.read_required("key_sha256", parse_digest, "")
+        section.report_unknown_options()
         _check_key(section, key, keys)
         keys[key] = name
     return tuple(keys)
 
 
-def _check_key(section: IniSection, key: str, held: dict[str, Any]) -> None:
-    if key and key in held:
-        section.blame("key_sha256", "the key of another section", "give each its own")
+def _check_key(section: IniSection, key: str, seen: dict[str, Any]) -> None:
+    if key and key in seen:
+        section.add_fault(
+            "key_sha256", "also used in another section", "use a separate key for each"
+        )
 
 
-def _blame_class(section: IniSection, option: str, name: str) -> None:
-    section.blame(option, f"no section [class:{name}]", "add it or name another class")
+def _add_unknown_class_fault(section: IniSection, option: str, name: str) -> None:
+    section.add_fault(
+        option, f"no section [class:{name}]", "add it or use another class"
+    )
 
 
-# Thousands of adapters share a few lists of versions
+# Cached because thousands of adapters share a few lists of versions
 @functools.lru_cache(maxsize=1024)
 def _parse_versions(text: str) -> tuple[str, ...]:
     return parse_list(parse_name)(text)
 
 
 def _parse_model(text: str) -> str:
-    if _MODEL.fullmatch(text) is None:
-        raise InvalidInput("no model's name", "use letters, digits and ._/:-")
+    if _MODEL_NAME_PATTERN.fullmatch(text) is None:
+        raise InvalidInput("not a valid model name", "use letters, digits and ._/:-")
     return text
 
 
 def _parse_source(text: str) -> str:
-    unknown = set(_BRACES.findall(parse_text(text))) - _PLACEHOLDERS
+    unknown = set(_BRACES_PATTERN.findall(parse_text(text))) - _PLACEHOLDERS
     if unknown:
         raise InvalidInput(
             "unknown placeholder in braces", "use only {adapter} and {version}"
@@ -363,12 +396,14 @@
 
 
 def _parse_method(text: str) -> str:
-    if text not in _METHODS:
-        raise InvalidInput("no method", f"write one of: {', '.join(sorted(_METHODS))}")
+    if text not in _HTTP_METHODS:
+        raise InvalidInput(
+            "not a valid method", f"write one of: {', '.join(sorted(_HTTP_METHODS))}"
+        )
     return text
 
 
 def _parse_path(text: str) -> str:
     if not text.startswith("/") or not text.isascii() or not text.isprintable():
-        raise InvalidInput("no path", "write a path that starts with /")
+        raise InvalidInput("not a valid path", "write an ASCII path that starts with /")
     return text
--- a/src/ibishead/settings.py
+++ b/src/ibishead/settings.py
@@ -1,7 +1,8 @@
-"""Settings of each program, from an INI file that is checked whole at start.
+"""Settings of each program, read from an INI file that is fully validated at start-up.
 
-Relative paths count from the folder of the settings file. Port 0 lets the system
-choose; the port is then found in the section's ``port_file``.
+Relative paths are resolved against the directory of the settings file. With port 0
+the operating system chooses a port, which is then written to the ``port_file`` of the
+section.
 """
 
 from dataclasses import dataclass
@@ -53,31 +54,32 @@
     "write_port_file",
 ]
 
-#: Largest body that fits into one frame of a link beside its headers.
+#: Largest body that fits into one frame of a link together with its headers.
 MAX_BODY_BYTES = 10 * 1024 * 1024
 MAX_HEADER_BYTES = 1024 * 1024
 MAX_CONNECTIONS = 65536
 MAX_SLOTS = 1024
 MAX_BATCH = 4096
 
-#: Bounds of the limits that are given in seconds.
-MIN_SECONDS = 0.05
-MAX_SECONDS = 3600.0
+#: Range of the limits that are durations, in seconds.
+MIN_LIMIT_SECONDS = 0.05
+MAX_LIMIT_SECONDS = 3600.0
 
-#: Longer than a restart or a short partition, which need no repair; a second loss in
-#: that time still leaves a majority of five.
-REPAIR_AFTER = timedelta(minutes=5)
+#: Default time without contact before a voter is replaced. It exceeds a restart or a
+#: short partition, which need no repair. If a second voter fails in that time, five
+#: voters still have a majority.
+DEFAULT_REPAIR_DELAY = timedelta(minutes=5)
 
-#: Replica sets have 3 or 5, at most 7 voters; 1 is for trials.
-REPLICA_COUNTS = (1, 3, 5, 7)
+#: A replica set has 3 or 5 voters, at most 7; 1 is for testing.
+ALLOWED_VOTER_COUNTS = (1, 3, 5, 7)
 
 
 @dataclass(frozen=True)
 class EntrySettings:
     """Settings of ``ibishead-entry``.
 
-    :param control: where the control replicas listen for links.
-    :param http_tls: shown to callers and operators; none means plain HTTP.
+    :param control: the link addresses of the control replicas.
+    :param http_tls: the certificate for callers and operators; none for plain HTTP.
     """
 
     host: HostId
@@ -95,14 +97,15 @@
 class AgentSettings:
     """Settings of ``ibishead-agent``.
 
-    :param target_endpoint: where the target listens.
-    :param lock: file that only one agent of the host's slot may hold.
-    :param slots: adapters that the engine holds at once; 0 for a plain service.
-    :param batch: requests that the target runs at once.
-    :param fenced: the target itself refuses old fencing numbers.
-    :param failure_backoff: wait before an adapter that failed to load is tried again.
-    :param announce: where entry hosts reach this agent, when that isn't where it
-        listens.
+    :param target_endpoint: the address that the target listens on.
+    :param lock: the lock file that only one agent of the host's slot may hold.
+    :param slots: the number of adapters that the engine can hold; 0 for a plain
+        service.
+    :param batch: the number of requests that the target runs concurrently.
+    :param fenced: whether the target itself refuses outdated fencing numbers.
+    :param failure_backoff: the delay before retrying an adapter that failed to load.
+    :param announce: the address by which entry hosts reach this agent, if it differs
+        from the one that the agent listens on.
     """
 
     host: HostId
@@ -129,11 +132,13 @@
 class ControlSettings:
     """Settings of ``ibishead-control``.
 
-    :param data: folder of the log and the snapshots, on a disk that lasts.
-    :param peers: the voters at the very first start, this replica included.
-    :param spares: further replicas that may be taken in later.
-    :param repair_after: silence after which a spare takes a voter's place unattended.
-    :param admin_keys: SHA-256 of keys that may submit for any team.
+    :param data: the directory of the log and the snapshots, on persistent storage.
+    :param peers: the initial voters when the replica set is first started, including
+        this replica.
+    :param spares: further replicas that may be added later.
+    :param repair_after: the time without contact after which a voter is automatically
+        replaced by a spare.
+    :param admin_keys: SHA-256 digests of the keys that may submit for any team.
     """
 
     replica: ReplicaId
@@ -145,7 +150,7 @@
     peers: dict[ReplicaId, Endpoint]
     spares: dict[ReplicaId, Endpoint]
     admin_keys: tuple[str, ...] = ()
-    repair_after: timedelta = REPAIR_AFTER
+    repair_after: timedelta = DEFAULT_REPAIR_DELAY
     peer_tls: PeerTls | None = None
     http_tls: KeyPair | None = None
     log_level: LogLevel = LogLevel.INFO
@@ -154,7 +159,7 @@
 def load_entry_settings(path: str | Path) -> EntrySettings:
     """Return the settings of an entry host.
 
-    :raises SettingsFault: with all faults in the message.
+    :raises SettingsFault: the file is invalid; the message lists all faults.
     """
     return load_settings(Path(path), _read_entry)
 
@@ -162,7 +167,7 @@
 def load_agent_settings(path: str | Path) -> AgentSettings:
     """Return the settings of an agent.
 
-    :raises SettingsFault: with all faults in the message.
+    :raises SettingsFault: the file is invalid; the message lists all faults.
     """
     return load_settings(Path(path), _read_agent)
 
@@ -170,7 +175,7 @@
 def load_control_settings(path: str | Path) -> ControlSettings:
     """Return the settings of a control replica.
 
-    :raises SettingsFault: with all faults in the message.
+    :raises SettingsFault: the file is invalid; the message lists all faults.
     """
     return load_settings(Path(path), _read_control)
 
@@ -179,8 +184,10 @@
     section = reader.ini.open_section("entry", required=True)
     peer_tls, http_tls = reader.read_tls()
     settings = EntrySettings(
-        host=HostId(section.need("host", parse_name, "")),
-        failure_domain=FailureDomain(section.need("failure_domain", parse_name, "")),
+        host=HostId(section.read_required("host", parse_name, "")),
+        failure_domain=FailureDomain(
+            section.read_required("failure_domain", parse_name, "")
+        ),
         http=reader.read_listen("http"),
         operators=reader.read_listen("operators"),
         control=reader.read_replicas(),
@@ -189,46 +196,48 @@
         http_tls=http_tls,
         log_level=reader.read_log_level(),
     )
-    section.refuse_others()
+    section.report_unknown_options()
     reader.check_ports({"http": settings.http, "operators": settings.operators})
     return settings
 
 
 def _read_limits(ini: IniFile) -> Limits:
     section = ini.open_section("limits")
-    own = Limits()
-    seconds = parse_number(MIN_SECONDS, MAX_SECONDS)
+    defaults = Limits()
+    seconds = parse_number(MIN_LIMIT_SECONDS, MAX_LIMIT_SECONDS)
     limits = Limits(
         header_bytes=section.read(
-            "header_bytes", parse_integer(256, MAX_HEADER_BYTES), own.header_bytes
+            "header_bytes", parse_integer(256, MAX_HEADER_BYTES), defaults.header_bytes
         ),
         body_bytes=section.read(
-            "body_bytes", parse_integer(1, MAX_BODY_BYTES), own.body_bytes
+            "body_bytes", parse_integer(1, MAX_BODY_BYTES), defaults.body_bytes
         ),
-        header_seconds=section.read("header_seconds", seconds, own.header_seconds),
-        body_seconds=section.read("body_seconds", seconds, own.body_seconds),
-        idle_seconds=section.read("idle_seconds", seconds, own.idle_seconds),
-        write_seconds=section.read("write_seconds", seconds, own.write_seconds),
+        header_seconds=section.read("header_seconds", seconds, defaults.header_seconds),
+        body_seconds=section.read("body_seconds", seconds, defaults.body_seconds),
+        idle_seconds=section.read("idle_seconds", seconds, defaults.idle_seconds),
+        write_seconds=section.read("write_seconds", seconds, defaults.write_seconds),
         connections=section.read(
-            "connections", parse_integer(1, MAX_CONNECTIONS), own.connections
+            "connections", parse_integer(1, MAX_CONNECTIONS), defaults.connections
         ),
     )
-    section.refuse_others()
+    section.report_unknown_options()
     return limits
 
 
 def _read_agent(reader: SettingsReader) -> AgentSettings:
     section = reader.ini.open_section("agent", required=True)
-    kind = section.need("kind", parse_choice(TargetKind), TargetKind.ENGINE)
+    kind = section.read_required("kind", parse_choice(TargetKind), TargetKind.ENGINE)
     lock = reader.read_path(section, "lock")
     target = reader.ini.open_section("target", required=True)
     fenced = target.read("fenced", parse_boolean, False)
     peer_tls, http_tls = reader.read_tls()
     settings = AgentSettings(
-        host=HostId(section.need("host", parse_name, "")),
-        failure_domain=FailureDomain(section.need("failure_domain", parse_name, "")),
-        target=TargetId(section.need("target", parse_name, "")),
-        service=ServiceName(section.need("service", parse_name, "")),
+        host=HostId(section.read_required("host", parse_name, "")),
+        failure_domain=FailureDomain(
+            section.read_required("failure_domain", parse_name, "")
+        ),
+        target=TargetId(section.read_required("target", parse_name, "")),
+        service=ServiceName(section.read_required("service", parse_name, "")),
         kind=kind,
         links=reader.read_listen("links"),
         operators=reader.read_listen("operators"),
@@ -244,26 +253,29 @@
         log_level=reader.read_log_level(),
         announce=section.read("announce", parse_endpoint, None),
     )
-    section.refuse_others()
-    target.refuse_others()
+    section.report_unknown_options()
+    target.report_unknown_options()
     if lock is None and not fenced:
-        # Two agents of one host would both give orders to a target that takes any
-        section.blame("lock", "missing, and the target is not fenced", "name a file")
+        # Without a lock, two agents of one host could both send commands to a target
+        # that doesn't check fencing numbers
+        section.add_fault(
+            "lock", "missing, and the target is not fenced", "set a lock file"
+        )
     reader.check_ports({"links": settings.links, "operators": settings.operators})
     return settings
 
 
 def _read_target_endpoint(section: IniSection) -> Endpoint:
     return Endpoint(
-        section.need("address", parse_address, ""),
-        section.need("port", parse_integer(1, MAX_PORT), 1),
+        section.read_required("address", parse_address, ""),
+        section.read_required("port", parse_integer(1, MAX_PORT), 1),
     )
 
 
 def _read_slots(section: IniSection, kind: TargetKind) -> int:
     match kind:
         case TargetKind.ENGINE:
-            return section.need("slots", parse_integer(1, MAX_SLOTS), 1)
+            return section.read_required("slots", parse_integer(1, MAX_SLOTS), 1)
         case TargetKind.PLAIN:
             return 0
 
@@ -271,7 +283,7 @@
 def _read_backoff(ini: IniFile) -> timedelta:
     section = ini.open_section("loads")
     backoff = section.read("failure_backoff", parse_duration, timedelta(seconds=1))
-    section.refuse_others()
+    section.report_unknown_options()
     return backoff
 
 
@@ -280,22 +292,24 @@
     operators = reader.ini.open_section("operators", required=True)
     peer_tls, http_tls = reader.read_tls()
     settings = ControlSettings(
-        replica=ReplicaId(section.need("replica", parse_name, "")),
-        host=HostId(section.need("host", parse_name, "")),
-        failure_domain=FailureDomain(section.need("failure_domain", parse_name, "")),
-        data=reader.need_path(section, "data"),
+        replica=ReplicaId(section.read_required("replica", parse_name, "")),
+        host=HostId(section.read_required("host", parse_name, "")),
+        failure_domain=FailureDomain(
+            section.read_required("failure_domain", parse_name, "")
+        ),
+        data=reader.read_required_path(section, "data"),
         links=reader.read_listen("links"),
-        operators=reader.read_listen_of(operators),
+        operators=reader.read_listen_section(operators),
         peers=_read_endpoints(reader.ini, "peers", required=True),
         spares=_read_endpoints(reader.ini, "spares", required=False),
-        repair_after=section.read("repair_after", parse_duration, REPAIR_AFTER),
+        repair_after=section.read("repair_after", parse_duration, DEFAULT_REPAIR_DELAY),
         admin_keys=operators.read("admin_keys_sha256", parse_list(parse_digest), ()),
         peer_tls=peer_tls,
         http_tls=http_tls,
         log_level=reader.read_log_level(),
     )
-    section.refuse_others()
-    operators.refuse_others()
+    section.report_unknown_options()
+    operators.report_unknown_options()
     _check_replicas(reader.ini, settings)
     _check_admin_keys(operators, settings)
     reader.check_ports({"links": settings.links, "operators": settings.operators})
@@ -316,25 +330,33 @@
     address = settings.operators.endpoint.address
     if settings.admin_keys or not address or ip_address(address).is_loopback:
         return
-    # Without keys anybody who reaches the port could change every service
-    section.blame(
+    # Without keys, any client that can reach the port could change every service
+    section.add_fault(
         "admin_keys_sha256",
-        f"missing, but {address} is reached from other hosts",
-        "list the SHA-256 of the administrators' keys, or listen on 127.0.0.1",
+        f"missing, but {address} is reachable from other hosts",
+        "list the SHA-256 digests of the administrators' keys, or listen on 127.0.0.1",
     )
 
 
 def _check_replicas(ini: IniFile, settings: ControlSettings) -> None:
     peers, spares = settings.peers, settings.spares
-    if len(peers) not in REPLICA_COUNTS:
-        # An even set bears no more losses than the odd one below it
-        ini.blame("peers", "", f"{len(peers)} replicas", "name 3 or 5, at most 7")
+    if len(peers) not in ALLOWED_VOTER_COUNTS:
+        # An even number tolerates no more failures than the odd number below it
+        ini.add_fault("peers", "", f"{len(peers)} replicas", "list 3 or 5, at most 7")
     for name in sorted(peers.keys() & spares.keys()):
-        ini.blame("spares", name, "also stands in [peers]", "keep one of them")
+        ini.add_fault("spares", name, "also listed in [peers]", "keep one of them")
     if settings.replica and settings.replica not in peers.keys() | spares.keys():
-        ini.blame(
-            "control", "replica", "not in [peers] or [spares]", "add its link address"
+        ini.add_fault(
+            "control",
+            "replica",
+            "not listed in [peers] or [spares]",
+            "add its link address to one of them",
         )
     endpoints = [*peers.values(), *spares.values()]
     if len(set(endpoints)) < len(endpoints):
-        ini.blame("peers", "", "two replicas share an address", "give each its own")
+        ini.add_fault(
+            "peers",
+            "",
+            "two replicas share an address",
+            "use a different address for each",
+        )
--- a/src/ibishead/settingsfile.py
+++ b/src/ibishead/settingsfile.py
@@ -1,4 +1,7 @@
-"""What the settings of all programs share: reading a file, listening, TLS files."""
+"""Settings that all programs share: listening addresses, TLS files and log level.
+
+Loads a settings file and reports all of its faults in one error.
+"""
 
 import ipaddress
 import os
@@ -14,11 +17,11 @@
     IniFile,
     IniSection,
     describe_faults,
+    make_printable,
     parse_choice,
     parse_integer,
     parse_list,
     parse_text,
-    quote,
 )
 from ibishead.links import Endpoint
 
@@ -41,7 +44,7 @@
 
 
 class LogLevel(Enum):
-    """The least severe level that is logged."""
+    """The lowest severity that is logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -51,9 +54,9 @@
 
 @dataclass(frozen=True)
 class ListenSettings:
-    """Where a program listens.
+    """The address that a program listens on.
 
-    :param port_file: where to write the port that was taken.
+    :param port_file: the file to write the actual port to, for port 0.
     """
 
     endpoint: Endpoint
@@ -62,7 +65,7 @@
 
 @dataclass(frozen=True)
 class KeyPair:
-    """Files of a certificate and its private key, in PEM."""
+    """Paths of a certificate and its private key, both in PEM format."""
 
     certificate: Path
     key: Path
@@ -70,28 +73,29 @@
 
 @dataclass(frozen=True)
 class PeerTls:
-    """TLS between programs: both ends show a certificate of the same authority."""
+    """Files for mutual TLS between programs, with certificates of one authority."""
 
     ca: Path
     pair: KeyPair
 
 
 def write_port_file(listen: ListenSettings, port: int) -> None:
-    """Write the port that was taken, if a file for it is named.
+    """Write the port that the program listens on to the port file, if one is set.
 
-    The file appears whole: whoever waits for it never reads half a number.
+    The file is replaced atomically, so that a reader never sees a partial number.
     """
     if listen.port_file is None:
         return
-    part = listen.port_file.with_name(listen.port_file.name + ".part")
-    part.write_text(f"{port}\n")
-    os.replace(part, listen.port_file)
+    temporary = listen.port_file.with_name(listen.port_file.name + ".part")
+    temporary.write_text(f"{port}\n")
+    os.replace(temporary, listen.port_file)
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Return the endpoint that ``ADDRESS:PORT`` names.
+    """Return the endpoint given as ``ADDRESS:PORT``, an IPv6 address in brackets.
 
-    :raises InvalidInput: it is no IP number with a port from 1.
+    :raises InvalidInput: the address is not an IP address, or the port is not in
+        1 to 65535.
     """
     address, _, port = text.rpartition(":")
     return Endpoint(
@@ -101,100 +105,110 @@
 
 
 def load_settings(path: Path, read: "Callable[[SettingsReader], _S]") -> _S:
-    """Return what ``read`` makes of a file.
+    """Return the settings that ``read`` builds from a file.
 
-    :raises SettingsFault: with all faults in the message.
+    :raises SettingsFault: the file is unreadable or invalid; the message lists all
+        faults.
     """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, ValueError) as error:
         raise SettingsFault(
-            f"{path} can't be read: {error}", "name a readable file in UTF-8"
+            f"{path} can't be read: {error}", "specify a readable file in UTF-8"
         ) from error
     reader = SettingsReader(IniFile(text), path.parent)
     settings = read(reader)
-    reader.ini.refuse_others()
+    reader.ini.report_unknown_sections()
     if reader.ini.faults:
-        raise _describe(path, reader.ini.faults)
+        raise _make_error(path, reader.ini.faults)
     return settings
 
 
-def _describe(path: Path, faults: list[Fault]) -> SettingsFault:
+def _make_error(path: Path, faults: list[Fault]) -> SettingsFault:
     return SettingsFault(
         f"{path} has {len(faults)} fault(s):\n{describe_faults(faults)}",
-        "mend them and start with --check-settings",
+        "correct them and verify the file with --check-settings",
     )
 
 
 @dataclass(frozen=True)
 class SettingsReader:
-    """A settings file being read, and the folder that its paths count from."""
+    """Reads the sections that several programs have in common.
+
+    :param directory: the directory that relative paths are resolved against.
+    """
 
     ini: IniFile
-    folder: Path
+    directory: Path
 
     def read_path(self, section: IniSection, option: str) -> Path | None:
-        """Return a path, or none when the option is absent."""
+        """Return a path, or none if the option is absent."""
         text = section.read(option, parse_text, "")
-        return self.folder / text if text else None
+        return self.directory / text if text else None
 
-    def need_path(self, section: IniSection, option: str) -> Path:
-        """Return a path that must be given."""
-        return self.folder / section.need(option, parse_text, ".")
+    def read_required_path(self, section: IniSection, option: str) -> Path:
+        """Return a path, and record a fault if the option is missing."""
+        return self.directory / section.read_required(option, parse_text, ".")
 
     def read_listen(self, name: str) -> ListenSettings:
-        """Return where a section of that name makes the program listen."""
+        """Return the listening address from the section of that name."""
         section = self.ini.open_section(name, required=True)
-        listen = self.read_listen_of(section)
-        section.refuse_others()
+        listen = self.read_listen_section(section)
+        section.report_unknown_options()
         return listen
 
-    def read_listen_of(self, section: IniSection) -> ListenSettings:
-        """Return where an open section makes the program listen."""
-        port = section.need("port", parse_integer(0, MAX_PORT), 0)
+    def read_listen_section(self, section: IniSection) -> ListenSettings:
+        """Return the listening address from a section that is already open."""
+        port = section.read_required("port", parse_integer(0, MAX_PORT), 0)
         return ListenSettings(
-            Endpoint(section.need("address", parse_address, ""), port),
+            Endpoint(section.read_required("address", parse_address, ""), port),
             self.read_path(section, "port_file"),
         )
 
     def read_replicas(self) -> tuple[Endpoint, ...]:
-        """Return where the control replicas listen for links."""
+        """Return the link addresses of the control replicas from ``[control]``."""
         section = self.ini.open_section("control", required=True)
         replicas: tuple[Endpoint, ...] = ()
-        replicas = section.need("replicas", parse_list(parse_endpoint), replicas)
-        section.refuse_others()
+        replicas = section.read_required(
+            "replicas", parse_list(parse_endpoint), replicas
+        )
+        section.report_unknown_options()
         return replicas
 
     def read_log_level(self) -> LogLevel:
-        """Return the level of ``[logs]``."""
+        """Return the log level from ``[logs]``, ``info`` by default."""
         section = self.ini.open_section("logs")
         level = section.read("level", parse_choice(LogLevel), LogLevel.INFO)
-        section.refuse_others()
+        section.report_unknown_options()
         return level
 
     def read_tls(self) -> tuple[PeerTls | None, KeyPair | None]:
-        """Return the files for links, and those shown to HTTP clients."""
+        """Return the TLS files for links between programs and those for HTTP."""
         section = self.ini.open_section("tls")
         ca = self._read_file(section, "ca")
         pair = self._read_pair(section, "certificate", "key")
         http = self._read_pair(section, "http_certificate", "http_key")
-        section.refuse_others()
+        section.report_unknown_options()
         if ca is not None and pair is not None:
             return PeerTls(ca, pair), http
         if (ca is None) != (pair is None):
-            section.blame("ca", "ca and certificate go together", "name both or none")
+            section.add_fault(
+                "ca", "ca and certificate are only valid together", "set both or none"
+            )
         return None, http
 
-    def check_ports(self, listens: dict[str, ListenSettings]) -> None:
-        """Blame a section whose port another one takes.
+    def check_ports(self, listen_settings: dict[str, ListenSettings]) -> None:
+        """Record a fault for a section whose port is already used by another.
 
-        :param listens: by the name of their section.
+        :param listen_settings: the listening addresses by section name.
         """
-        taken: dict[Endpoint, str] = {}
-        for name, listen in listens.items():
-            other = taken.setdefault(listen.endpoint, name)
+        used: dict[Endpoint, str] = {}
+        for name, listen in listen_settings.items():
+            other = used.setdefault(listen.endpoint, name)
             if listen.endpoint.port and other != name:
-                self.ini.blame(name, "port", f"taken by [{other}]", "choose another")
+                self.ini.add_fault(
+                    name, "port", f"taken by [{other}]", "choose another"
+                )
 
     def _read_pair(
         self, section: IniSection, certificate: str, key: str
@@ -204,24 +218,27 @@
         if certificate_file is not None and key_file is not None:
             return KeyPair(certificate_file, key_file)
         if (certificate_file is None) != (key_file is None):
-            section.blame(key, f"{certificate} and {key} go together", "name both")
+            section.add_fault(
+                key, f"{certificate} and {key} are only valid together", "set both"
+            )
         return None
 
     def _read_file(self, section: IniSection, option: str) -> Path | None:
         path = self.read_path(section, option)
         if path is not None and not os.access(path, os.R_OK):
-            section.blame(option, "no readable file", "name one that can be read")
+            section.add_fault(option, "not a readable file", "specify a readable file")
         return path
 
 
 def parse_address(text: str) -> str:
-    """Return an IP number.
+    """Return an IP address in its canonical form.
 
-    :raises InvalidInput: it is a host's name or nothing of the kind.
+    :raises InvalidInput: the text is not an IP address; host names are not allowed.
     """
     try:
         return str(ipaddress.ip_address(text))
     except ValueError as error:
         raise InvalidInput(
-            f"'{quote(text)}' is no IP number", "write one such as 10.0.0.1"
+            f"'{make_printable(text)}' is not an IP address",
+            "write one such as 10.0.0.1",
         ) from error
