--- a/src/ibishead/errors.py
+++ b/src/ibishead/errors.py
@@ -1,6 +1,7 @@
-"""Errors as typed kinds with codes; each message names the remedy.
+"""Exception classes with error codes; each message includes a remedy.
 
-A code decides the HTTP status and, for requests, what is known of the run.
+The class determines the HTTP status. The code tells callers and operators the cause
+and, for requests, whether the request may have run.
 """
 
 from datetime import timedelta
@@ -25,7 +26,7 @@
 
 
 class ErrorCode(Enum):
-    """Every code that a caller, an operator or a log line can show."""
+    """All error codes, as sent to callers and operators and written to logs."""
 
     INVALID_INPUT = "invalid_input"
     UNKNOWN_SERVICE = "unknown_service"
@@ -71,12 +72,12 @@
 
 
 class IbisheadError(Exception):
-    """The root of all kinds.
+    """The base class of all errors.
 
-    :param message: what went wrong.
+    :param message: a description of the problem.
     :param remedy: what the reader can do about it.
-    :param code: overrides the kind's own code.
-    :param retry_after: when to come back, for refusals.
+    :param code: replaces the default code of the class.
+    :param retry_after: the delay before a retry, for refused requests.
     """
 
     code = ErrorCode.INTERNAL
@@ -99,82 +100,82 @@
 
 
 class InvalidInput(IbisheadError):
-    """The input can't be understood; nothing was done with it."""
+    """The input is malformed or invalid; it had no effect."""
 
     code = ErrorCode.INVALID_INPUT
     status = 400
 
 
 class Unauthorized(IbisheadError):
-    """The key is missing or belongs to nobody."""
+    """The API key is missing or unknown."""
 
     code = ErrorCode.UNAUTHORIZED
     status = 401
 
 
 class Forbidden(IbisheadError):
-    """The key is known but doesn't reach this far."""
+    """The API key is valid but lacks permission for the operation."""
 
     code = ErrorCode.FORBIDDEN
     status = 403
 
 
 class NotFound(IbisheadError):
-    """The named thing doesn't exist."""
+    """The named resource doesn't exist."""
 
     code = ErrorCode.NOT_FOUND
     status = 404
 
 
 class Conflict(IbisheadError):
-    """The input contradicts what was accepted before."""
+    """The input conflicts with what was accepted earlier."""
 
     code = ErrorCode.REVISION_CONFLICT
     status = 409
 
 
 class TooLarge(IbisheadError):
-    """The input exceeds a limit."""
+    """The input exceeds a size limit."""
 
     code = ErrorCode.BODY_TOO_LARGE
     status = 413
 
 
 class Refused(IbisheadError):
-    """The request was not run; it may be sent again after ``retry_after``."""
+    """The request was not run; it may be retried after ``retry_after``."""
 
     code = ErrorCode.OVERLOADED
     status = 429
 
 
 class Unavailable(IbisheadError):
-    """A part that the request needs can't be reached; it was not run."""
+    """A component that the request needs is unreachable; the request was not run."""
 
     code = ErrorCode.NO_TARGET
     status = 503
 
 
 class OutcomeUnknown(IbisheadError):
-    """The request may have run; nobody can tell."""
+    """The request may or may not have run; this can't be determined."""
 
     code = ErrorCode.OUTCOME_UNKNOWN
     status = 502
 
 
 class LinkLost(IbisheadError):
-    """The link to another program closed or went silent."""
+    """The link to another program was closed or timed out."""
 
     code = ErrorCode.LINK_LOST
     status = 503
 
 
 class SettingsFault(IbisheadError):
-    """Settings with one or more faults, all of them in the message."""
+    """The settings are invalid; the message lists all faults."""
 
     code = ErrorCode.SETTINGS_INVALID
 
 
 class StorageFault(IbisheadError):
-    """The data folder can't be trusted or written."""
+    """The data directory is damaged or can't be written."""
 
     code = ErrorCode.STORAGE_DAMAGED
--- a/src/ibishead/logs.py
+++ b/src/ibishead/logs.py
@@ -1,7 +1,7 @@
 """Logs as JSON lines on standard error.
 
-Fields come from ``extra``: ``request``, ``stage``, ``decision``, ``reason`` and
-whatever else a caller names. Keys are never written.
+Additional fields come from ``extra``: ``request``, ``stage``, ``decision``, ``reason``
+and any others that the caller passes. API keys and other secrets are redacted.
 """
 
 import json
@@ -18,10 +18,10 @@
 
 __all__ = ["JsonFormatter", "RedactingFilter", "set_up_logging"]
 
-#: What stands in place of a secret.
+#: Replaces the value of a secret field.
 REDACTED = "(redacted)"
 
-_SECRET_NAMES = frozenset(
+_SECRET_FIELDS = frozenset(
     {
         "authorization",
         "proxy-authorization",
@@ -37,24 +37,24 @@
         "token",
     }
 )
-_OWN_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
+_STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
 
 
 class RedactingFilter(logging.Filter):
-    """Replaces fields, and headers within fields, whose name says they are secret."""
+    """Redacts fields, and headers nested in fields, that have the name of a secret."""
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Redact the record's extra fields; every record passes."""
+        """Redact the record's extra fields, and accept every record."""
         for name, value in vars(record).items():
-            if name not in _OWN_FIELDS:
+            if name not in _STANDARD_FIELDS:
                 setattr(record, name, _redact(name, value))
         return True
 
 
 class JsonFormatter(logging.Formatter):
-    """Writes one JSON object for each record.
+    """Formats each record as one JSON object.
 
-    :param constants: fields of every line, such as program and host.
+    :param constants: fields added to every line, such as program and host.
     """
 
     def __init__(self, constants: Mapping[str, str]) -> None:
@@ -71,16 +71,16 @@
             **self._constants,
         }
         for name, value in vars(record).items():
-            if name not in _OWN_FIELDS:
-                # An extra field never hides one of the line's own
+            if name not in _STANDARD_FIELDS:
+                # An extra field doesn't override a standard field of the same name
                 line.setdefault(name, value)
         if record.exc_info:
             line["exception"] = self.formatException(record.exc_info)
         try:
             return msgspec.json.encode(line, enc_hook=str).decode()
         except (ValueError, TypeError, RecursionError):
-            # A field that is no JSON, such as half a surrogate pair, costs its shape
-            # but never the line
+            # A value that JSON can't represent, such as a lone surrogate, must not
+            # cause the line to be lost, so all values are written as strings
             return json.dumps({name: str(value) for name, value in line.items()})
 
 
@@ -91,10 +91,14 @@
     stream: TextIO | None = None,
     handler: logging.Handler | None = None,
 ) -> None:
-    """Send all logs of the process to one stream, and drop earlier handlers.
-
-    :param stream: standard error by default.
-    :param handler: writes the lines, in place of one that waits for the stream.
+    """Send all logs of the process to one handler, and remove earlier handlers.
+
+    :param level: the lowest severity that is logged.
+    :param program: the name of the program, a field of every line.
+    :param host: the host of the program, a field of every line.
+    :param stream: the output of the default handler, which blocks while the stream
+        does; standard error if not given.
+    :param handler: a handler to use instead of the default one.
     """
     handler = handler or logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(JsonFormatter({"program": program, "host": host}))
@@ -102,13 +106,13 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.value.upper())
-    # The library tells of every handshake; its warnings are enough
+    # The library logs every handshake at a lower level
     logging.getLogger("websockets").setLevel(logging.WARNING)
     logging.getLogger("asyncio").setLevel(logging.WARNING)
 
 
 def _redact(name: str, value: Any) -> Any:
-    if name.lower() in _SECRET_NAMES:
+    if name.lower() in _SECRET_FIELDS:
         return REDACTED
     match value:
         case dict():
--- a/src/ibishead/metrics.py
+++ b/src/ibishead/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics of a program, shown to the platform in Prometheus' text format.
+"""Metrics of a program, exported in the text format of Prometheus.
 
-Times are histograms for each team and class. A program holds one `Metrics`.
+Durations are recorded as histograms by team and class. A program has one `Metrics`.
 """
 
 import bisect
@@ -18,8 +18,9 @@
 
 __all__ = ["Measure", "Metrics"]
 
-#: Upper bounds in seconds, from a token's gap to a deadline.
-SECONDS_BUCKETS = (
+#: Upper bounds of the buckets for durations, which range from the time between two
+#: tokens to the deadline of a request.
+BUCKET_BOUNDS_SECONDS = (
     0.001,
     0.0025,
     0.005,
@@ -37,17 +38,17 @@
     120.0,
 )
 
-#: Upper bounds of how full a batch ran, from 0 to 1.
-FILL_BUCKETS = (0.125, 0.25, 0.375, 0.5, 0.625, 0.75, 0.875, 1.0)
+#: Upper bounds of the buckets for the used share of a batch, from 0 to 1.
+FILL_BUCKET_BOUNDS = (0.125, 0.25, 0.375, 0.5, 0.625, 0.75, 0.875, 1.0)
 
-#: Pairs of team and class that are told apart; a fleet has tens. The rest share one
-#: pair, so that what callers send can't fill the memory.
-MAX_PAIRS = 1000
-_OTHER = "other"
+#: Number of pairs of team and class with metrics of their own; a deployment has tens.
+#: All further pairs share one, so that values sent by callers can't exhaust memory.
+MAX_LABEL_PAIRS = 1000
+_OVERFLOW_LABEL = "other"
 
 
 class Measure(Enum):
-    """What is measured for each team and class, with its help text."""
+    """The histograms that exist for each team and class; values are help texts."""
 
     WAIT = "seconds that a request waited for its turn"
     LOAD_STALL = "seconds that a request waited for its adapter"
@@ -57,10 +58,11 @@
 
 
 class _Buckets(Histogram):
-    """The library's histogram, with one bucket touched for each observation.
+    """A histogram that updates only one bucket for each observation.
 
-    The library adds to every bucket above a value at once; here that is done when
-    somebody reads, which is seconds apart rather than tokens.
+    The library's histogram updates all buckets above the value on every observation.
+    This one computes the cumulative counts when the metrics are read, which happens
+    every few seconds, whereas observations are made for every token.
     """
 
     def __init__(self, *bounds: float) -> None:
@@ -79,9 +81,9 @@
 
 
 class Metrics:
-    """Histograms and counters of one program.
+    """Histograms, counters and gauges of one program.
 
-    :param program: the first part of every name, such as ``entry``.
+    :param program: the program's part of every metric name, such as ``entry``.
     """
 
     def __init__(self, program: str) -> None:
@@ -89,108 +91,120 @@
         self._program = program
         self._histograms = {
             measure: aioprometheus.Histogram(
-                self._name(_NAMES[measure]),
+                self._full_name(_METRIC_NAMES[measure]),
                 measure.value,
                 registry=self._registry,
-                buckets=_BUCKETS[measure],
+                buckets=_BUCKET_BOUNDS[measure],
             )
             for measure in Measure
         }
         self._buckets: dict[tuple[Measure, TeamId, ClassName], _Buckets] = {}
-        self._pairs: set[tuple[TeamId, ClassName]] = set()
-        self._refusals = self._count("refusals_total", "refusals by code")
-        self._requests = self._count("requests_total", "requests by outcome")
-        self._events = self._count("events_total", "events of the program by name")
+        self._label_pairs: set[tuple[TeamId, ClassName]] = set()
+        self._refusals = self._make_counter("refusals_total", "refusals by code")
+        self._requests = self._make_counter("requests_total", "requests by outcome")
+        self._events = self._make_counter(
+            "events_total", "events of the program by name"
+        )
         self._gauges: dict[str, aioprometheus.Gauge] = {}
 
     def observe(
         self, measure: Measure, team: TeamId, request_class: ClassName, value: float
     ) -> None:
-        """Add one observation; cheap enough for every token."""
+        """Add one observation; fast enough to be called for every token.
+
+        :param value: seconds, or a share from 0 to 1 for `Measure.BATCH_FILL`.
+        """
         buckets = self._buckets.get((measure, team, request_class))
         if buckets is None:
-            buckets = self._find_buckets(measure, team, request_class)
+            buckets = self._get_or_create_buckets(measure, team, request_class)
         buckets.observe(value)
 
     def count_refusal(self, code: ErrorCode) -> None:
-        """Count a refusal by its code."""
+        """Count a refused request by its error code."""
         self._refusals.inc({"code": code.value})
 
     def count_request(
         self, team: TeamId, request_class: ClassName, outcome: Outcome
     ) -> None:
-        """Count a request that has ended."""
-        team, request_class = self._bound_pair(team, request_class)
+        """Count a request that has ended, by its outcome."""
+        team, request_class = self._limit_pair(team, request_class)
         self._requests.inc(
             {"team": team, "class": request_class, "outcome": outcome.value}
         )
 
     def count_event(self, event: str) -> None:
-        """Count an event by its name, a constant of the program."""
+        """Count an event.
+
+        :param event: the name of the event, a constant of the program.
+        """
         self._events.inc({"event": event})
 
     def set_gauge(self, name: str, value: float) -> None:
-        """Show a present value, such as running requests.
+        """Set a gauge to its current value, such as the number of running requests.
 
-        :param name: a constant of the program, fit for a metric's name.
+        :param name: a constant of the program that is valid in a metric name.
         """
         gauge = self._gauges.get(name)
         if gauge is None:
             gauge = aioprometheus.Gauge(
-                self._name(name), name.replace("_", " "), registry=self._registry
+                self._full_name(name), name.replace("_", " "), registry=self._registry
             )
             self._gauges[name] = gauge
         gauge.set({}, value)
 
     def render(self, accept: Sequence[str] = ()) -> tuple[Headers, bytes]:
-        """Return headers and body for whoever scrapes.
+        """Return the headers and the body of a response with all metrics.
 
-        :param accept: values of the scraper's Accept header.
+        :param accept: the values of the Accept header of the request.
         """
         for buckets in self._buckets.values():
             buckets.accumulate()
         body, headers = aioprometheus.render(self._registry, accept)
         return tuple((k.lower(), v) for k, v in headers.items()), body
 
-    def _find_buckets(
+    def _get_or_create_buckets(
         self, measure: Measure, team: TeamId, request_class: ClassName
     ) -> _Buckets:
-        # The library encodes the labels as JSON at each observation; the histogram
-        # behind them is looked up once and kept
-        bound = self._bound_pair(team, request_class)
-        found = self._buckets.get((measure, *bound))
-        if found is None:
-            found = _Buckets(*_BUCKETS[measure])
-            labels = {"team": bound[0], "class": bound[1]}
-            self._histograms[measure].set_value(labels, found)
-            self._buckets[measure, *bound] = found
-        return found
-
-    def _bound_pair(
+        # The library encodes the labels as JSON on each observation, so the histogram
+        # for the labels is created once and stored
+        pair = self._limit_pair(team, request_class)
+        buckets = self._buckets.get((measure, *pair))
+        if buckets is None:
+            buckets = _Buckets(*_BUCKET_BOUNDS[measure])
+            labels = {"team": pair[0], "class": pair[1]}
+            self._histograms[measure].set_value(labels, buckets)
+            self._buckets[measure, *pair] = buckets
+        return buckets
+
+    def _limit_pair(
         self, team: TeamId, request_class: ClassName
     ) -> tuple[TeamId, ClassName]:
         pair = (team, request_class)
-        if pair not in self._pairs:
-            if len(self._pairs) >= MAX_PAIRS:
-                return TeamId(_OTHER), ClassName(_OTHER)
-            self._pairs.add(pair)
+        if pair not in self._label_pairs:
+            if len(self._label_pairs) >= MAX_LABEL_PAIRS:
+                return TeamId(_OVERFLOW_LABEL), ClassName(_OVERFLOW_LABEL)
+            self._label_pairs.add(pair)
         return pair
 
-    def _count(self, name: str, text: str) -> aioprometheus.Counter:
-        return aioprometheus.Counter(self._name(name), text, registry=self._registry)
+    def _make_counter(self, name: str, help_text: str) -> aioprometheus.Counter:
+        return aioprometheus.Counter(
+            self._full_name(name), help_text, registry=self._registry
+        )
 
-    def _name(self, name: str) -> str:
+    def _full_name(self, name: str) -> str:
         return f"ibishead_{self._program}_{name}"
 
 
-_NAMES = {
+_METRIC_NAMES = {
     Measure.WAIT: "wait_seconds",
     Measure.LOAD_STALL: "load_stall_seconds",
     Measure.FIRST_TOKEN: "first_token_seconds",
     Measure.BETWEEN_TOKENS: "between_tokens_seconds",
     Measure.BATCH_FILL: "batch_fill_ratio",
 }
-_BUCKETS = {
-    measure: FILL_BUCKETS if measure is Measure.BATCH_FILL else SECONDS_BUCKETS
+_BUCKET_BOUNDS = {
+    measure: FILL_BUCKET_BOUNDS
+    if measure is Measure.BATCH_FILL
+    else BUCKET_BOUNDS_SECONDS
     for measure in Measure
 }
--- a/src/ibishead/metricsserver.py
+++ b/src/ibishead/metricsserver.py
@@ -1,4 +1,4 @@
-"""Shows a program's metrics over HTTP."""
+"""HTTP server for the metrics of a program."""
 
 from collections.abc import Callable
 
@@ -8,14 +8,16 @@
 
 __all__ = ["MetricsServer"]
 
-#: Connections at once; a scraper needs one.
-MAX_SCRAPERS = 8
+#: Maximum number of concurrent connections; a scraper needs one.
+MAX_CONNECTIONS = 8
 
 
 class MetricsServer:
-    """Answers whoever scrapes.
+    """Serves the metrics of a program at ``/metrics``.
 
-    :param gauges: returns present values by name, read at each scrape.
+    :param metrics: the metrics to serve.
+    :param gauges: a function that returns the current values of all gauges by name;
+        called for each scrape.
     """
 
     def __init__(
@@ -23,17 +25,17 @@
     ) -> None:
         self._metrics = metrics
         self._gauges = gauges
-        self._web = WebServer(self._answer, Limits(connections=MAX_SCRAPERS))
+        self._web = WebServer(self._handle, Limits(connections=MAX_CONNECTIONS))
 
     async def start(self, endpoint: Endpoint) -> Endpoint:
-        """Listen, and return the endpoint with the port that was taken."""
+        """Start listening, and return the endpoint with the actual port."""
         return await self._web.start(endpoint)
 
     async def stop(self) -> None:
         """Stop listening."""
         await self._web.stop(0.0)
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _handle(self, exchange: Exchange) -> None:
         if exchange.request.path != "/metrics":
             await exchange.respond(404, ())
             return
--- a/src/ibishead/process.py
+++ b/src/ibishead/process.py
@@ -1,4 +1,4 @@
-"""What every program does at its start and end: arguments, signals, exit codes."""
+"""Running a program's main coroutine: signals and exit codes."""
 
 import asyncio
 import signal
@@ -14,19 +14,24 @@
 EXIT_FAULT = 1
 
 
-def run_program(make: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a program to its end, and exit with a message when it can't go on."""
+def run_program(make_coroutine: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    """Run a program's main coroutine until it completes.
+
+    On an `IbisheadError`, print the error to standard error and exit with `EXIT_FAULT`.
+
+    :param make_coroutine: returns the main coroutine.
+    """
     try:
-        asyncio.run(make())
+        asyncio.run(make_coroutine())
     except IbisheadError as error:
         print(f"{error.code.value}: {error}", file=sys.stderr)
         sys.exit(EXIT_FAULT)
 
 
 async def wait_for_stop() -> None:
-    """Return when the platform asks for a planned stop (SIGTERM or SIGINT)."""
+    """Wait for SIGTERM or SIGINT, which request an orderly shutdown."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     await stop.wait()
--- a/src/ibishead/startup.py
+++ b/src/ibishead/startup.py
@@ -1,6 +1,7 @@
-"""The command line that the long-running programs share.
+"""Command line of the long-running programs.
 
-Settings are read and checked whole, TLS files included, before anything listens.
+All settings, including the TLS files, are validated before the program starts to
+listen.
 """
 
 import sys
@@ -21,7 +22,7 @@
 
 
 class ProgramSettings(Protocol):
-    """What the settings of every program hold."""
+    """The settings that every program has."""
 
     @property
     def host(self) -> HostId:
@@ -29,15 +30,15 @@
 
     @property
     def log_level(self) -> LogLevel:
-        """The least severe level that is logged."""
+        """The lowest severity that is logged."""
 
     @property
     def peer_tls(self) -> PeerTls | None:
-        """Files for links between programs."""
+        """TLS files for links between programs."""
 
     @property
     def http_tls(self) -> KeyPair | None:
-        """Files shown to HTTP clients."""
+        """TLS files for HTTP clients."""
 
 
 _S = TypeVar("_S", bound=ProgramSettings)
@@ -51,17 +52,19 @@
 ) -> click.Command:
     """Return a command that loads settings and runs the program with them.
 
-    With ``--check-settings`` it ends after the check: 0 when all is well, 2 with
-    every fault on standard error otherwise.
+    If the settings are invalid, the command prints all faults to standard error and
+    exits with status 2. With ``--check-settings`` it validates the settings without
+    running the program.
 
-    :param program: its name in log lines.
-    :param load: raises `SettingsFault` with all faults.
-    :param run: serves until a planned stop.
+    :param program: the name of the program in log lines.
+    :param summary: the help text of the command.
+    :param load: loads the settings; raises `SettingsFault` if they are invalid.
+    :param run: runs the program until an orderly shutdown.
     """
 
     @click.command(name=program, help=summary)
     @click.argument("settings_file", type=click.Path(path_type=Path))
-    @click.option("--check-settings", is_flag=True, help="Check the file and exit.")
+    @click.option("--check-settings", is_flag=True, help="Validate the file and exit.")
     def command(settings_file: Path, check_settings: bool) -> None:
         try:
             settings = load(settings_file)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -7,7 +7,7 @@
 
 from ibishead.errors import ErrorCode
 from ibishead.messages import Outcome
-from ibishead.metrics import MAX_PAIRS, SECONDS_BUCKETS, Measure, Metrics
+from ibishead.metrics import BUCKET_BOUNDS_SECONDS, MAX_LABEL_PAIRS, Measure, Metrics
 
 
 def render(metrics):
@@ -45,8 +45,8 @@
 
 
 def test_buckets_agree_with_the_library():
-    metrics, library = Metrics("entry"), Histogram(*SECONDS_BUCKETS)
-    for value in [0.0, *SECONDS_BUCKETS, 0.0011, 77.0, 1e9]:
+    metrics, library = Metrics("entry"), Histogram(*BUCKET_BOUNDS_SECONDS)
+    for value in [0.0, *BUCKET_BOUNDS_SECONDS, 0.0011, 77.0, 1e9]:
         metrics.observe(Measure.WAIT, "a", "read", value)
         library.observe(value)
     text = render(metrics)
@@ -79,9 +79,9 @@
 
 def test_pairs_beyond_the_bound_share_one():
     metrics = Metrics("entry")
-    for n in range(MAX_PAIRS + 50):
+    for n in range(MAX_LABEL_PAIRS + 50):
         metrics.observe(Measure.WAIT, f"t{n}", "read", 0.0)
         metrics.count_request(f"t{n}", "read", Outcome.COMPLETED)
     text = render(metrics)
     assert 'wait_seconds_count{class="other",team="other"} 50' in text
-    assert text.count("wait_seconds_count{") == MAX_PAIRS + 1
+    assert text.count("wait_seconds_count{") == MAX_LABEL_PAIRS + 1
