--- a/src/ibishead/logsink.py
+++ b/src/ibishead/logsink.py
@@ -1,6 +1,7 @@
-"""Where log lines go: a stream that may stand still, and a bound on their number.
+"""Log output that never blocks, and a rate limit for routine lines.
 
-A program that waits for the reader of its log would answer nobody.
+A program that blocks on its log output, because the reader of the stream is stalled,
+could not serve requests in the meantime.
 """
 
 import contextlib
@@ -10,105 +11,111 @@
 
 from ibishead.clock import Clock
 
-__all__ = ["LineBudget", "PatientHandler", "mark_routine"]
+__all__ = ["NonBlockingHandler", "RoutineLineFilter", "mark_routine"]
 
-#: Bytes of lines that wait for a reader; about two thousand lines.
-MAX_WAITING = 512 * 1024
+#: Size in bytes of buffered lines beyond which new lines are dropped; about two
+#: thousand lines.
+MAX_BUFFERED_BYTES = 512 * 1024
 
-#: Routine lines a second that are written, and how many may come at once. A gateway at
-#: its share of the planned peak ends 15 requests a second.
-ROUTINE_RATE = 100.0
-ROUTINE_BURST = 400.0
+#: Rate of routine lines that are written, and the size of a burst. A gateway at its
+#: share of the planned peak load completes 15 requests per second.
+ROUTINE_LINES_PER_SECOND = 100.0
+ROUTINE_BURST_LINES = 400.0
 
-_ROUTINE = "routine"
+_ROUTINE_FIELD = "routine"
 
 
 def mark_routine() -> dict[str, bool]:
-    """Return the extra field of a line that may be left out when there are many."""
-    return {_ROUTINE: True}
+    """Return the ``extra`` of a routine line, which may be omitted at a high rate."""
+    return {_ROUTINE_FIELD: True}
 
 
-class LineBudget(logging.Filter):
-    """Leaves out routine lines beyond a rate, and says how many were.
+class RoutineLineFilter(logging.Filter):
+    """Omits routine lines beyond a rate, using a token bucket.
 
-    Only lines that tell of a whole request without trouble are routine; what failed,
-    and what changed a belief, is always written.
+    The next line that is written has the number of omitted lines in ``left_out``. Only
+    lines about requests that completed without problems are routine; failures and
+    changes of the program's view of other programs are always written.
     """
 
     def __init__(self, clock: Clock) -> None:
         super().__init__()
         self._clock = clock
-        self._tokens = ROUTINE_BURST
-        self._counted = clock.monotonic()
-        self._left_out = 0
+        self._tokens = ROUTINE_BURST_LINES
+        self._refilled_at = clock.monotonic()
+        self._omitted = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Return whether the record is written."""
         fields = vars(record)
-        if fields.pop(_ROUTINE, False) and not self._take():
-            self._left_out += 1
+        if fields.pop(_ROUTINE_FIELD, False) and not self._take_token():
+            self._omitted += 1
             return False
-        if self._left_out:
-            fields["left_out"], self._left_out = self._left_out, 0
+        if self._omitted:
+            fields["left_out"], self._omitted = self._omitted, 0
         return True
 
-    def _take(self) -> bool:
+    def _take_token(self) -> bool:
         now = self._clock.monotonic()
-        earned = ROUTINE_RATE * (now - self._counted)
-        self._tokens, self._counted = min(ROUTINE_BURST, self._tokens + earned), now
+        refill = ROUTINE_LINES_PER_SECOND * (now - self._refilled_at)
+        self._tokens, self._refilled_at = (
+            min(ROUTINE_BURST_LINES, self._tokens + refill),
+            now,
+        )
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
 
-class PatientHandler(logging.Handler):
-    """Writes lines to a descriptor without ever waiting for its reader.
+class NonBlockingHandler(logging.Handler):
+    """Writes lines to a file descriptor without blocking.
 
-    What the reader doesn't take is kept up to a bound and written with a later line;
-    beyond it whole lines are lost, and the next one that is kept says how many.
+    Lines that can't be written immediately are buffered and written along with a later
+    line. When the buffer is full, whole lines are dropped, and the next line that is
+    accepted has their number in ``lines_lost``.
 
-    :param descriptor: made non-blocking.
+    :param descriptor: the file descriptor, which is set to non-blocking mode.
     """
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
         self._descriptor = descriptor
-        self._waiting: deque[bytes] = deque()
-        self._size = 0
-        self._lost = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
+        self._dropped = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record, or keep it for later."""
+        """Write a record, or buffer it if the descriptor isn't ready."""
         try:
-            if self._size > MAX_WAITING:
-                self._lost += 1
+            if self._buffered_bytes > MAX_BUFFERED_BYTES:
+                self._dropped += 1
             else:
-                if self._lost:
-                    record.lines_lost, self._lost = self._lost, 0
+                if self._dropped:
+                    record.lines_lost, self._dropped = self._dropped, 0
                 line = self.format(record).encode("utf-8", "replace") + b"\n"
-                self._waiting.append(line)
-                self._size += len(line)
-            self._write()
+                self._buffer.append(line)
+                self._buffered_bytes += len(line)
+            self._flush()
         except Exception:
             self.handleError(record)
 
     def close(self) -> None:
-        """Write what the reader still takes."""
+        """Write as many buffered lines as possible without blocking."""
         with contextlib.suppress(OSError):
-            self._write()
+            self._flush()
         super().close()
 
-    def _write(self) -> None:
-        while self._waiting:
-            line = self._waiting[0]
+    def _flush(self) -> None:
+        while self._buffer:
+            line = self._buffer[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
                 return
-            self._size -= written
+            self._buffered_bytes -= written
             if written < len(line):
-                self._waiting[0] = line[written:]
+                self._buffer[0] = line[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
--- a/src/ibishead/platform/programs.py
+++ b/src/ibishead/platform/programs.py
@@ -21,7 +21,7 @@
 from ibishead.ids import HostId
 from ibishead.links import Endpoint
 from ibishead.logs import set_up_logging
-from ibishead.logsink import LineBudget, PatientHandler
+from ibishead.logsink import NonBlockingHandler, RoutineLineFilter
 from ibishead.metrics import Metrics
 from ibishead.metricsserver import MetricsServer
 from ibishead.platform.settings import PlatformSettings, load_platform_settings
@@ -185,7 +185,7 @@
     if check_settings:
         click.echo(f"{path} is valid")
         return
-    handler = PatientHandler(sys.stdout.fileno())
-    handler.addFilter(LineBudget(BootClock()))
+    handler = NonBlockingHandler(sys.stdout.fileno())
+    handler.addFilter(RoutineLineFilter(BootClock()))
     set_up_logging(LogLevel.INFO, program, HostId(settings.node_name), handler=handler)
     run_program(lambda: _PROGRAMS[program](settings, path, metrics_port))
--- a/tests/test_logsink.py
+++ b/tests/test_logsink.py
@@ -9,11 +9,11 @@
 from ibishead.clock import ManualClock
 from ibishead.logs import JsonFormatter
 from ibishead.logsink import (
-    MAX_WAITING,
-    ROUTINE_BURST,
-    ROUTINE_RATE,
-    LineBudget,
-    PatientHandler,
+    MAX_BUFFERED_BYTES,
+    ROUTINE_BURST_LINES,
+    ROUTINE_LINES_PER_SECOND,
+    NonBlockingHandler,
+    RoutineLineFilter,
     mark_routine,
 )
 
@@ -28,7 +28,7 @@
 def pipe():
     """Return both ends of a pipe and a handler that writes into it."""
     reader, writer = os.pipe()
-    handler = PatientHandler(writer)
+    handler = NonBlockingHandler(writer)
     handler.setFormatter(JsonFormatter({}))
     yield reader, handler
     handler.close()
@@ -51,7 +51,7 @@
     """All callers wait, as the collector of the logs hangs and the pipe is full."""
     reader, handler = pipe
     size = len(handler.format(make_record(number=100000))) + 1
-    count = (2 * MAX_WAITING + 65536) // size
+    count = (2 * MAX_BUFFERED_BYTES + 65536) // size
     for number in range(count):
         handler.emit(make_record(number=number))
     seen = []
@@ -70,14 +70,14 @@
 @pytest.mark.parametrize("routine", [True, False])
 def test_only_routine_lines_are_left_out_and_they_are_counted(routine):
     clock = ManualClock()
-    budget = LineBudget(clock)
+    budget = RoutineLineFilter(clock)
     extra = mark_routine() if routine else {}
-    count = int(2 * ROUTINE_BURST)
+    count = int(2 * ROUTINE_BURST_LINES)
     passed = sum(budget.filter(make_record(**extra)) for _ in range(count))
-    assert passed == (ROUTINE_BURST if routine else count)
+    assert passed == (ROUTINE_BURST_LINES if routine else count)
     clock.step(1.0)
     record = make_record(**extra)
     assert budget.filter(record)
     assert getattr(record, "left_out", 0) == count - passed
     more = sum(budget.filter(make_record(**extra)) for _ in range(count))
-    assert more == (ROUTINE_RATE - 1 if routine else count)
+    assert more == (ROUTINE_LINES_PER_SECOND - 1 if routine else count)
