--- a/src/ibishead/operator/__main__.py
+++ b/src/ibishead/operator/__main__.py
@@ -1,4 +1,4 @@
-"""Runs ``python -m ibishead.operator``."""
+"""Entry point of ``python -m ibishead.operator``."""
 
 from ibishead.operator.main import main
 
--- a/src/ibishead/operator/client.py
+++ b/src/ibishead/operator/client.py
@@ -1,4 +1,4 @@
-"""Asks replicas or entry hosts, one after another until one answers."""
+"""HTTP client for the operators' API, with failover between several servers."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -27,16 +27,16 @@
 from ibishead.links import Endpoint
 from ibishead.webclient import ClientConnection
 
-__all__ = ["HttpClient", "decode_answer"]
+__all__ = ["HttpClient", "decode_response"]
 
-#: Seconds for one server to answer. A connection that went silent for good looks
-#: like a slow server; the next one is asked instead.
-ANSWER_TIMEOUT = 5.0
+#: Time for one server to respond. A dead connection can't be distinguished from a slow
+#: server, so after this time the request is sent to the next server.
+RESPONSE_TIMEOUT_SECONDS = 5.0
 
-#: Seconds between two rounds over all servers.
-ROUND_PAUSE = 0.2
+#: Pause between two rounds over all servers.
+ROUND_PAUSE_SECONDS = 0.2
 
-_KINDS: dict[int, type[IbisheadError]] = {
+_ERROR_CLASSES: dict[int, type[IbisheadError]] = {
     400: InvalidInput,
     401: Unauthorized,
     403: Forbidden,
@@ -54,74 +54,79 @@
     remedy: str = ""
 
 
-class _ErrorAnswer(msgspec.Struct):
+class _ErrorResponse(msgspec.Struct):
     error: _ErrorBody = msgspec.field(default_factory=_ErrorBody)
 
 
 @dataclass(frozen=True)
 class HttpClient:
-    """Asks servers that stand in for each other.
+    """Sends requests to a group of interchangeable servers.
 
-    :param key: sent as a bearer token; empty for none.
-    :param patience: seconds until the client stops asking.
+    :param key: the API key, sent as a bearer token; empty for none.
+    :param tls: the TLS context; none for plain HTTP.
+    :param timeout: the time in seconds after which no new round of attempts starts.
+    :param response_timeout: the time in seconds for one server to respond.
     """
 
     servers: tuple[Endpoint, ...]
     clock: Clock
     key: str = field(default="", repr=False)
     tls: SSLContext | None = None
-    patience: float = 20.0
-    answer_timeout: float = ANSWER_TIMEOUT
+    timeout: float = 20.0
+    response_timeout: float = RESPONSE_TIMEOUT_SECONDS
 
-    async def ask(self, method: str, target: str, body: bytes = b"") -> bytes:
-        """Return the body of the first answer.
+    async def request(self, method: str, target: str, body: bytes = b"") -> bytes:
+        """Send an idempotent request, and return the body of the response.
 
-        The request is sent again to the next server when an answer is lost or the
-        server can't decide now, so it has to be idempotent.
+        The request is retried on the next server if the response is lost or the
+        server is temporarily unable to decide.
 
-        :raises LinkLost: nobody could be reached in time.
-        :raises OutcomeUnknown: an answer was lost, and no later one settles it.
-        :raises Unavailable: those that answered couldn't decide in time.
+        :raises LinkLost: no server could be reached in time.
+        :raises OutcomeUnknown: a response was lost, and no later one clarifies whether
+            the request was accepted.
+        :raises Unavailable: the servers that responded were unable to decide in time.
         :raises IbisheadError: a server refused the request.
         """
-        give_up = self.clock.monotonic() + self.patience
-        lost = False
+        deadline = self.clock.monotonic() + self.timeout
+        answer_lost = False
         while True:
             for server in self.servers:
                 try:
-                    return await self.ask_server(server, method, target, body)
+                    return await self.request_from(server, method, target, body)
                 except (LinkLost, OutcomeUnknown, Unavailable) as error:
-                    last: IbisheadError = error
-                    lost = lost or isinstance(error, OutcomeUnknown)
+                    last_error: IbisheadError = error
+                    answer_lost = answer_lost or isinstance(error, OutcomeUnknown)
                 except (Forbidden, Unauthorized) as error:
-                    if lost:
-                        raise _doubt_refusal(error) from error
+                    if answer_lost:
+                        raise _make_outcome_unknown(error) from error
                     raise
-            if self.clock.monotonic() + ROUND_PAUSE >= give_up:
-                raise last
-            await asyncio.sleep(ROUND_PAUSE)
+            if self.clock.monotonic() + ROUND_PAUSE_SECONDS >= deadline:
+                raise last_error
+            await asyncio.sleep(ROUND_PAUSE_SECONDS)
 
-    async def ask_once(self, method: str, target: str, body: bytes = b"") -> bytes:
-        """Return the body of an answer; for requests that may not be sent twice.
+    async def request_once(self, method: str, target: str, body: bytes = b"") -> bytes:
+        """Send a request that must not be repeated, and return the response body.
+
+        The next server is tried only if the request can't have been accepted.
 
         :raises LinkLost: no server could be reached; nothing was sent.
-        :raises OutcomeUnknown: the answer was lost after the request was sent.
+        :raises OutcomeUnknown: the response was lost after the request was sent.
         :raises IbisheadError: a server refused the request.
         """
         for server in self.servers:
             try:
-                return await self.ask_server(server, method, target, body)
+                return await self.request_from(server, method, target, body)
             except (LinkLost, Unavailable) as error:
-                last: IbisheadError = error
-        raise last
+                last_error: IbisheadError = error
+        raise last_error
 
-    async def ask_server(
+    async def request_from(
         self, server: Endpoint, method: str, target: str, body: bytes = b""
     ) -> bytes:
-        """Return the body of one server's answer.
+        """Send a request to one server, and return the body of the response.
 
         :raises LinkLost: the server can't be reached; nothing was sent.
-        :raises OutcomeUnknown: the answer was lost after the request was sent.
+        :raises OutcomeUnknown: the response was lost after the request was sent.
         :raises IbisheadError: the server refused the request.
         """
         connection = await ClientConnection.open(server, self.tls)
@@ -129,42 +134,42 @@
         if self.key:
             headers += (("authorization", f"Bearer {self.key}"),)
         try:
-            async with asyncio.timeout(self.answer_timeout):
-                answer = await connection.ask(method, target, headers, body)
-                content = await answer.read()
+            async with asyncio.timeout(self.response_timeout):
+                response = await connection.ask(method, target, headers, body)
+                content = await response.read()
         except (LinkLost, TimeoutError) as error:
             raise OutcomeUnknown(
-                f"{server} was asked but its answer is lost: {error}",
-                "see with ibishead status whether the replica runs",
+                f"no response from {server} after the request was sent: {error}",
+                "check with ibishead status whether the replica runs",
             ) from error
         finally:
             connection.close()
-        if answer.status < 300:
+        if response.status < 300:
             return content
-        raise _make_error(server, answer.status, answer.headers, content)
+        raise _make_error(server, response.status, response.headers, content)
 
 
-def decode_answer(content: bytes, kind: type[_T]) -> _T:
-    """Return a JSON answer as the kind asked for.
+def decode_response(content: bytes, response_type: type[_T]) -> _T:
+    """Return a JSON response decoded as the given type.
 
-    :raises InvalidInput: the answer has another shape.
+    :raises InvalidInput: the response doesn't match the type.
     """
     try:
-        return msgspec.json.decode(content, type=kind)
+        return msgspec.json.decode(content, type=response_type)
     except msgspec.DecodeError as error:
         raise InvalidInput(
-            f"the answer can't be read: {error}",
-            "run the same version of ibishead here and there",
+            f"the response can't be decoded: {error}",
+            "run the same version of ibishead as the server",
         ) from error
 
 
-def _doubt_refusal(error: IbisheadError) -> OutcomeUnknown:
-    # Failure: a change that takes this very key away is accepted, its answer is
-    # lost, and the resend is refused for want of the key. That is no proof that
-    # the first one was not accepted.
+def _make_outcome_unknown(error: IbisheadError) -> OutcomeUnknown:
+    # A submission that revokes the key it was sent with may be accepted while its
+    # response is lost. The retry is then refused because the key is no longer valid,
+    # which doesn't prove that the first attempt was not accepted.
     return OutcomeUnknown(
-        f"an answer was lost, and the resend is refused: {error.message}",
-        "see with another key what was accepted",
+        f"a response was lost, and the retry was refused: {error.message}",
+        "check with another key what was accepted",
     )
 
 
@@ -172,15 +177,17 @@
     server: Endpoint, status: int, headers: Headers, content: bytes
 ) -> IbisheadError:
     try:
-        body = msgspec.json.decode(content, type=_ErrorAnswer).error
+        body = msgspec.json.decode(content, type=_ErrorResponse).error
     except msgspec.DecodeError:
         body = _ErrorBody()
     retry_after = find_header(headers, "retry-after") or ""
     code = next((c for c in ErrorCode if c.value == body.code), ErrorCode.INTERNAL)
-    kind = _KINDS.get(status, Unavailable if status >= 500 else InvalidInput)
-    return kind(
-        body.message or f"{server} answered with status {status}",
-        body.remedy or "check that an operators' port of ibishead listens there",
+    error_class = _ERROR_CLASSES.get(
+        status, Unavailable if status >= 500 else InvalidInput
+    )
+    return error_class(
+        body.message or f"{server} responded with status {status}",
+        body.remedy or "check that this is an operators' port of ibishead",
         code=code,
         retry_after=timedelta(seconds=int(retry_after))
         if retry_after.isdecimal()
--- a/src/ibishead/operator/options.py
+++ b/src/ibishead/operator/options.py
@@ -1,4 +1,4 @@
-"""Options that the commands share, how they print and what they exit with."""
+"""Options, output and exit codes that the operator's commands have in common."""
 
 import asyncio
 import functools
@@ -29,12 +29,12 @@
 
 __all__ = ["Command", "ExitCode", "NotInForce", "control_command", "entry_command"]
 
-#: Seconds that a command asks and waits by default.
-DEFAULT_PATIENCE = 30.0
+#: Default time for a command to send its request and to wait for the result.
+DEFAULT_TIMEOUT_SECONDS = 30.0
 
 
 class ExitCode(IntEnum):
-    """What the shell sees; part of the interface, see docs/OPERATIONS.md."""
+    """Exit codes of the commands; part of the interface, see docs/OPERATIONS.md."""
 
     OK = 0
     REFUSED = 1
@@ -45,25 +45,29 @@
 
 
 class NotInForce(IbisheadError):
-    """A change is accepted, but some hosts haven't applied it yet."""
+    """A change was accepted, but some hosts have not applied it yet."""
 
 
 @dataclass(frozen=True)
 class Command:
-    """What one run of a command works with.
+    """The client and the output format for one invocation of a command.
 
-    :param json: print JSON, one object a line, instead of text.
+    :param json: whether to print JSON, one object per line, instead of text.
     """
 
     client: HttpClient
     json: bool
 
-    def show(self, value: Any, text: str) -> None:
-        """Print a value as JSON, or its text."""
+    def print_result(self, value: Any, text: str) -> None:
+        """Print a result to standard output, as JSON or as text.
+
+        :param value: the result to encode as JSON.
+        :param text: the same result as text.
+        """
         click.echo(msgspec.json.encode(value).decode() if self.json else text)
 
-    def note(self, text: str) -> None:
-        """Print progress where it doesn't mix with the result."""
+    def print_progress(self, text: str) -> None:
+        """Print a progress message to standard error, separate from the result."""
         click.echo(text, err=True)
 
 
@@ -79,25 +83,25 @@
             self.fail(str(error), param, ctx)
 
 
-_CONTROL = click.option(
+_CONTROL_OPTION = click.option(
     "--control",
     "servers",
     type=_EndpointType(),
     multiple=True,
     required=True,
     envvar="IBISHEAD_CONTROL",
-    help="Operators' port of a control replica; several are tried in turn.",
+    help="Operators' port of a control replica; repeat to try several in order.",
 )
-_ENTRY = click.option(
+_ENTRY_OPTION = click.option(
     "--entry",
     "servers",
     type=_EndpointType(),
     multiple=True,
     required=True,
     envvar="IBISHEAD_ENTRY",
-    help="Operators' port of an entry host; all are asked.",
+    help="Operators' port of an entry host; repeat for each host.",
 )
-_COMMON = (
+_COMMON_OPTIONS = (
     click.option(
         "--key-file",
         type=click.Path(path_type=Path, exists=True, dir_okay=False),
@@ -108,47 +112,51 @@
         "--ca",
         type=click.Path(path_type=Path, exists=True, dir_okay=False),
         envvar="IBISHEAD_CA",
-        help="Use TLS, and trust this authority (PEM).",
+        help="Use TLS and trust this certificate authority (PEM).",
     ),
     click.option(
         "--timeout",
         type=click.FloatRange(0.1, 3600.0),
-        default=DEFAULT_PATIENCE,
+        default=DEFAULT_TIMEOUT_SECONDS,
         show_default=True,
-        help="Seconds to ask and to wait.",
+        help="Seconds to retry the request and to wait for the result.",
     ),
     click.option("--json", "as_json", is_flag=True, help="Print JSON lines."),
 )
 
 
 def control_command(run: Callable[..., Coroutine[Any, Any, None]]) -> Callable:
-    """Give a command the options that reach the control replicas."""
-    return _add_options(run, (_CONTROL, *_COMMON))
+    """Add the options for access to the control replicas to a command."""
+    return _add_options(run, (_CONTROL_OPTION, *_COMMON_OPTIONS))
 
 
 def entry_command(run: Callable[..., Coroutine[Any, Any, None]]) -> Callable:
-    """Give a command the options that reach the entry hosts."""
-    return _add_options(run, (_ENTRY, *_COMMON))
+    """Add the options for access to the entry hosts to a command."""
+    return _add_options(run, (_ENTRY_OPTION, *_COMMON_OPTIONS))
 
 
 def exit_with(error: IbisheadError, as_json: bool) -> None:
-    """Show an error and end with the code that belongs to it."""
+    """Print an error, and exit with the corresponding code.
+
+    :param as_json: whether to print JSON to standard output instead of text to
+        standard error.
+    """
     if as_json:
-        shown = {
+        details = {
             "code": error.code.value,
             "message": error.message,
             "remedy": error.remedy,
         }
-        click.echo(msgspec.json.encode({"error": shown}).decode())
+        click.echo(msgspec.json.encode({"error": details}).decode())
     else:
         click.echo(f"error: {error.message}\nremedy: {error.remedy}", err=True)
         if error.retry_after is not None:
-            click.echo(f"come back in: {error.retry_after.seconds} s", err=True)
+            click.echo(f"retry after: {error.retry_after.seconds} s", err=True)
     sys.exit(find_exit_code(error))
 
 
 def find_exit_code(error: IbisheadError) -> ExitCode:
-    """Return what a command that failed with an error exits with."""
+    """Return the exit code of a command that failed with an error."""
     match error:
         case NotInForce():
             return ExitCode.NOT_IN_FORCE
@@ -179,7 +187,7 @@
                 clock=SystemClock(),
                 key=_read_key(key_file) if key_file else "",
                 tls=make_operator_context(ca) if ca else None,
-                patience=timeout,
+                timeout=timeout,
             )
             asyncio.run(run(Command(client, as_json), **arguments))
         except IbisheadError as error:
@@ -196,8 +204,9 @@
     except (OSError, ValueError):
         key = ""
     if not key or not key.isprintable() or " " in key:
-        # The content is not shown: it may be a key with one bad character
+        # The message omits the content, which may be a key with one invalid character
         raise SettingsFault(
-            f"{path} holds no key", "write the key as one line of ASCII without spaces"
+            f"{path} contains no valid key",
+            "write the key as one line of ASCII without spaces",
         )
     return key
--- a/src/ibishead/operator/submitting.py
+++ b/src/ibishead/operator/submitting.py
@@ -1,4 +1,4 @@
-"""Submitting a document, and waiting until it is in force everywhere."""
+"""Submitting a service document, and waiting until it is in force on all hosts."""
 
 import asyncio
 import uuid
@@ -10,22 +10,22 @@
 from ibishead.documents import ServiceDocument
 from ibishead.errors import IbisheadError, LinkLost, OutcomeUnknown, Unavailable
 from ibishead.ids import Revision, SubmissionId
-from ibishead.operator.client import decode_answer
+from ibishead.operator.client import decode_response
 from ibishead.operator.options import Command, NotInForce
 from ibishead.operator.views import InForceView, SubmissionView
 
 __all__ = ["Submission", "SubmissionNotice", "make_submission_id", "submit_document"]
 
-#: Seconds between two questions whether a change is in force.
-POLL_INTERVAL = 0.2
+#: Interval for polling whether a change is in force.
+POLL_INTERVAL_SECONDS = 0.2
 
 
 @dataclass(frozen=True)
 class Submission:
-    """A document on its way.
+    """A document to be submitted.
 
     :param base: the revision that the operator edited; 0 for a new service.
-    :param submission: names this change; a resend has the same.
+    :param submission: the idempotency key of this change; a retry has the same.
     """
 
     document: ServiceDocument
@@ -35,30 +35,31 @@
 
 
 class SubmissionNotice(msgspec.Struct):
-    """Printed before anything is sent."""
+    """The submission id, printed before the request is sent."""
 
     submission: str
 
 
 def make_submission_id() -> SubmissionId:
-    """Return an id that nobody else will draw."""
+    """Return a random id that is globally unique."""
     return SubmissionId(uuid.uuid4().hex)
 
 
 async def submit_document(command: Command, submission: Submission, wait: bool) -> None:
-    """Submit, and wait until the change is in force.
+    """Submit a document, and wait until the change is in force.
 
-    :raises NotInForce: it is accepted, but not in force everywhere yet.
-    :raises IbisheadError: it is refused, or nobody can say whether it is accepted.
+    :param wait: whether to wait.
+    :raises NotInForce: the change was accepted, but is not in force everywhere yet.
+    :raises IbisheadError: the change was refused, or it is unknown whether it was
+        accepted.
     """
-    # Failure: the answer is lost and the operator doesn't know what to resend. The
-    # id is on the screen before the first byte is sent, so that the same submission
-    # can be sent again, which is never applied twice.
-    command.show(
+    # The id is printed before the request is sent. If the response is lost, the
+    # operator can then retry the same submission, which is never applied twice.
+    command.print_result(
         SubmissionNotice(submission.submission), f"submission {submission.submission}"
     )
     accepted = await _send(command, submission)
-    command.show(
+    command.print_result(
         accepted,
         f"accepted {accepted.service} revision {accepted.revision} "
         f"at index {accepted.index}",
@@ -66,7 +67,7 @@
     if not wait:
         return
     await _wait_in_force(command, accepted)
-    command.show(InForceView(True), "in force everywhere")
+    command.print_result(InForceView(True), "in force everywhere")
 
 
 async def _send(command: Command, submission: Submission) -> SubmissionView:
@@ -80,50 +81,50 @@
     )
     target = f"/v1/documents/{quote(document.service, safe='')}?{query}"
     try:
-        content = await command.client.ask("POST", target, submission.text.encode())
+        content = await command.client.request("POST", target, submission.text.encode())
     except (LinkLost, OutcomeUnknown, Unavailable) as error:
         raise type(error)(
-            f"nobody confirms the submission: {error.message}",
+            f"the submission is not confirmed: {error.message}",
             "it may be accepted or not; run the same command with "
             f"--submission {submission.submission}, which is never applied twice",
             code=error.code,
         ) from error
-    return decode_answer(content, SubmissionView)
+    return decode_response(content, SubmissionView)
 
 
 async def _wait_in_force(command: Command, accepted: SubmissionView) -> None:
     clock = command.client.clock
-    give_up = clock.monotonic() + command.client.patience
-    shown: list[str] | None = None
+    deadline = clock.monotonic() + command.client.timeout
+    printed_hosts: list[str] | None = None
     while True:
-        view = await _ask_in_force(command, accepted)
+        view = await _request_in_force(command, accepted)
         if view.in_force:
             return
-        if view.waiting_for != shown:
-            shown = view.waiting_for
-            command.note(f"not yet in force: {_join(shown)}")
-        if clock.monotonic() + POLL_INTERVAL >= give_up:
+        if view.waiting_for != printed_hosts:
+            printed_hosts = view.waiting_for
+            command.print_progress(f"not yet in force: {_format_hosts(printed_hosts)}")
+        if clock.monotonic() + POLL_INTERVAL_SECONDS >= deadline:
             raise NotInForce(
                 f"revision {accepted.revision} of {accepted.service} is accepted, "
-                f"but not yet in force: {_join(shown)}",
-                "look at those hosts; they stop serving when their lease ends",
+                f"but not yet in force: {_format_hosts(printed_hosts)}",
+                "check these hosts; they stop serving when their lease expires",
             )
-        await asyncio.sleep(POLL_INTERVAL)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
-async def _ask_in_force(command: Command, accepted: SubmissionView) -> InForceView:
+async def _request_in_force(command: Command, accepted: SubmissionView) -> InForceView:
     try:
-        content = await command.client.ask(
+        content = await command.client.request(
             "GET", f"/v1/in-force?index={accepted.index}"
         )
     except IbisheadError as error:
         raise NotInForce(
             f"revision {accepted.revision} of {accepted.service} is accepted, but "
-            f"nobody says whether it is in force: {error.message}",
-            "see ibishead status; the change stays accepted",
+            f"it is unknown whether it is in force: {error.message}",
+            "check with ibishead status; the change remains accepted",
         ) from error
-    return decode_answer(content, InForceView)
+    return decode_response(content, InForceView)
 
 
-def _join(hosts: list[str]) -> str:
-    return ", ".join(sorted(hosts)) or "on hosts that control doesn't name"
+def _format_hosts(hosts: list[str]) -> str:
+    return ", ".join(sorted(hosts)) or "on hosts that control did not list"
--- a/src/ibishead/operator/views.py
+++ b/src/ibishead/operator/views.py
@@ -1,4 +1,4 @@
-"""What control and the entry hosts tell operators, and how it reads as text."""
+"""Responses of the operators' API, and their presentation as text."""
 
 from collections.abc import Iterable, Sequence
 from datetime import UTC, datetime
@@ -24,7 +24,7 @@
 
 
 class SubmissionView(msgspec.Struct):
-    """The answer to an accepted submission."""
+    """The response to an accepted submission."""
 
     service: str
     revision: int
@@ -34,14 +34,17 @@
 
 
 class InForceView(msgspec.Struct):
-    """Whether an index is in force, and which hosts haven't applied it."""
+    """Whether a log index is in force, and the hosts that have not applied it yet."""
 
     in_force: bool
     waiting_for: list[str] = []
 
 
 class DocumentView(msgspec.Struct):
-    """A service's newest document."""
+    """The current document of a service.
+
+    :ivar accepted_at: POSIX time in seconds.
+    """
 
     service: str
     team: str
@@ -53,7 +56,10 @@
 
 
 class ChangeView(msgspec.Struct):
-    """One accepted change of a service's document."""
+    """One accepted change of a service's document.
+
+    :ivar accepted_at: POSIX time in seconds.
+    """
 
     revision: int
     submission: str = ""
@@ -81,9 +87,9 @@
 
 
 class StatusView(msgspec.Struct):
-    """A control replica by its own account.
+    """The state of a control replica, as reported by the replica itself.
 
-    :param lease: seconds for which it may still answer reads.
+    :ivar lease: the remaining time in seconds during which it may serve reads.
     """
 
     replica: str
@@ -97,7 +103,7 @@
 
 
 class ReplicaView(msgspec.Struct):
-    """What was learnt of the replica at an endpoint."""
+    """The status of the replica at an endpoint, or the error if it is unavailable."""
 
     endpoint: str
     status: StatusView | None = None
@@ -105,15 +111,15 @@
 
 
 class ReplacementView(msgspec.Struct):
-    """The replica that takes a lost one's place."""
+    """The new replica that replaces a lost one."""
 
     replica: str
 
 
 class StepView(msgspec.Struct):
-    """One decision on a request.
+    """One decision about a request.
 
-    :param at: seconds since the request came.
+    :ivar at: the time in seconds since the request arrived.
     """
 
     stage: str
@@ -123,7 +129,7 @@
 
 
 class TraceView(msgspec.Struct):
-    """What each stage decided about a request, and why."""
+    """The decisions of all stages about a request, with their reasons."""
 
     request: str
     outcome: str = ""
@@ -131,21 +137,21 @@
 
 
 def format_document(document: DocumentView) -> str:
-    """Return a document with a heading that INI takes for a comment."""
+    """Return the text of a document, preceded by a header in INI comments."""
     return (
         f"# service {document.service}, team {document.team}, "
-        f"revision {document.revision}, {format_moment(document.accepted_at)}\n"
+        f"revision {document.revision}, {format_time(document.accepted_at)}\n"
         f"# by operator {document.operator}, submission {document.submission}\n"
         f"{document.text.rstrip()}"
     )
 
 
 def format_history(history: HistoryView) -> str:
-    """Return one line for each change, the newest first."""
+    """Return a table with one row for each change, the newest first."""
     rows = [
         (
             str(change.revision),
-            format_moment(change.accepted_at),
+            format_time(change.accepted_at),
             change.operator,
             change.submission,
         )
@@ -155,7 +161,7 @@
 
 
 def format_replicas(replicas: Iterable[ReplicaView]) -> str:
-    """Return one line for each replica."""
+    """Return a table with one row for each replica."""
     return format_table(
         ("endpoint", "replica", "leader", "index", "lease", "voters", "learners"),
         [_format_replica(replica) for replica in replicas],
@@ -163,7 +169,7 @@
 
 
 def format_targets(targets: Iterable[TargetView]) -> str:
-    """Return one line for each target."""
+    """Return a table with one row for each target."""
     rows = [
         (
             target.target,
@@ -181,7 +187,7 @@
 
 
 def format_trace(trace: TraceView) -> str:
-    """Return one line for each decision."""
+    """Return a table with one row for each decision about a request."""
     rows = [
         (f"{step.at:.4f} s", step.stage, step.decision, step.reason)
         for step in trace.steps
@@ -190,13 +196,13 @@
     return f"request {trace.request}: {trace.outcome}\n{table}"
 
 
-def format_moment(posix_seconds: float) -> str:
-    """Return a moment in UTC, to the second."""
+def format_time(posix_seconds: float) -> str:
+    """Return a POSIX time as ISO 8601 text in UTC, in whole seconds."""
     return datetime.fromtimestamp(posix_seconds, UTC).isoformat("T", "seconds")
 
 
 def format_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Return rows under their header, each column as wide as it needs."""
+    """Return a table of the header and the rows, with aligned columns."""
     widths = [max(map(len, column)) for column in zip(header, *rows, strict=True)]
     lines = [
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
