--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,8 @@
-"""Settings that hold for every test: the same verdict each time."""
+"""Configuration of all tests.
+
+Hypothesis generates the same examples on every run, so that results are reproducible.
+Tests listed in KNOWN-RED.txt are run, but their failures are expected.
+"""
 
 from pathlib import Path
 
@@ -16,14 +20,14 @@
 
 
 def _read_known_red(root: Path) -> dict[str, str]:
-    """Return the lines of KNOWN-RED.txt by the test that each names."""
+    """Return the lines of KNOWN-RED.txt by the id of the test that each one lists."""
     path = root / "KNOWN-RED.txt"
     lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else []
     return {line.split(" | ")[0].strip(): line for line in lines if line.strip()}
 
 
 def pytest_collection_modifyitems(config, items):
-    """Run the tests that are known to be red, and let them pass either way."""
+    """Mark the tests listed in KNOWN-RED.txt as expected failures that may pass."""
     known = _read_known_red(config.rootpath)
     for item in items:
         if item.nodeid in known:
@@ -32,6 +36,6 @@
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    """Name the tests that are known to be red."""
+    """Print the lines of KNOWN-RED.txt."""
     for line in _read_known_red(config.rootpath).values():
         terminalreporter.write_line(f"known red: {line}")
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Whatever bytes come, the HTTP shell answers in defined ways and goes on serving."""
+"""Tests that invalid input gets a defined HTTP response and doesn't stop the server."""
 
 import asyncio
 import contextlib
@@ -20,22 +20,22 @@
     body_seconds=5.0,
     idle_seconds=5.0,
 )
-GOOD = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhello"
-CHUNKED = (
+REQUEST = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhello"
+CHUNKED_REQUEST = (
     b"POST /echo HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n"
     b"5\r\nhello\r\n0\r\n\r\n"
 )
-BARE = b"GET /echo?q=1 HTTP/1.1\r\nhost: x\r\n\r\n"
-#: What may be answered to input of any kind; 500 would be a fault of the program.
-DEFINED = {200, 400, 408, 413, 431, 505}
+REQUEST_WITHOUT_BODY = b"GET /echo?q=1 HTTP/1.1\r\nhost: x\r\n\r\n"
+#: Statuses allowed for arbitrary input; 500 would indicate a fault of the program.
+ALLOWED_STATUSES = {200, 400, 408, 413, 431, 505}
 
 
 async def echo(exchange):
     await exchange.respond(200, (), exchange.request.body)
 
 
-class Bench:
-    """A server that outlives all examples, and one connection for each."""
+class SharedServer:
+    """A server for all examples, with a separate connection for each example."""
 
     def __init__(self, runner):
         self.runner = runner
@@ -53,7 +53,7 @@
             self.endpoint.address, self.endpoint.port
         )
         received = b""
-        # The server may close before all is sent
+        # The server may close the connection before all data is sent
         with contextlib.suppress(ConnectionError):
             for part in (data[:split], data[split:]):
                 writer.write(part)
@@ -68,15 +68,15 @@
 
 
 @pytest.fixture(scope="module")
-def bench():
+def shared_server():
     with asyncio.Runner() as runner:
-        bench = Bench(runner)
-        yield bench
-        bench.stop()
+        shared_server = SharedServer(runner)
+        yield shared_server
+        shared_server.stop()
 
 
 def read_statuses(received):
-    """Return the statuses of the answers; fail on one that isn't whole."""
+    """Return the statuses of the responses, and fail if one is incomplete."""
     statuses = []
     while received:
         state = h11.Connection(h11.CLIENT)
@@ -95,33 +95,47 @@
 @pytest.mark.parametrize(
     ("data", "statuses"),
     [
-        pytest.param(GOOD, [200], id="good"),
-        pytest.param(GOOD + CHUNKED + BARE, [200, 200, 200], id="pipelined"),
-        pytest.param(GOOD * 30, [200] * 30, id="pipelined-flood"),
-        pytest.param(GOOD + b"rubbish\r\n\r\n", [200, 400], id="pipelined-rubbish"),
-        pytest.param(GOOD[:-1], [400], id="cut-body"),
-        pytest.param(CHUNKED[:-3], [400], id="cut-chunks"),
+        pytest.param(REQUEST, [200], id="good"),
+        pytest.param(
+            REQUEST + CHUNKED_REQUEST + REQUEST_WITHOUT_BODY,
+            [200, 200, 200],
+            id="pipelined",
+        ),
+        pytest.param(REQUEST * 30, [200] * 30, id="pipelined-flood"),
+        pytest.param(REQUEST + b"rubbish\r\n\r\n", [200, 400], id="pipelined-rubbish"),
+        pytest.param(REQUEST[:-1], [400], id="cut-body"),
+        pytest.param(CHUNKED_REQUEST[:-3], [400], id="cut-chunks"),
         pytest.param(b"", [], id="nothing"),
         pytest.param(b"\x16\x03\x01\x02\x00\x01\x00", [400], id="tls-hello"),
         pytest.param(b"GET / HTTP/1.1\r\n\r\n", [400], id="no-host"),
         pytest.param(b"GET / HTTP/9.9\r\nhost: x\r\n\r\n", [505], id="version"),
-        pytest.param(BARE.replace(b"1.1", b"1.0"), [200], id="old-version"),
-        pytest.param(BARE.replace(b"x", b"\xff"), [400], id="no-utf-8"),
-        pytest.param(BARE.replace(b"q=1", b"q=\xc3\xa9"), [400], id="target"),
-        pytest.param(BARE.replace(b"x\r", b"x\r\n y\r"), [200], id="folded"),
-        pytest.param(GOOD.replace(b"5", b"201"), [413], id="large-body"),
-        pytest.param(GOOD.replace(b"5", b"9" * 19), [413], id="huge-length"),
-        pytest.param(GOOD.replace(b"5", b"9" * 1500), [400], id="endless-length"),
-        pytest.param(GOOD.replace(b"5", b"-5"), [400], id="negative-length"),
         pytest.param(
-            GOOD.replace(b"length: 5", b"length: 5\r\ncontent-length: 6"),
+            REQUEST_WITHOUT_BODY.replace(b"1.1", b"1.0"), [200], id="old-version"
+        ),
+        pytest.param(REQUEST_WITHOUT_BODY.replace(b"x", b"\xff"), [400], id="no-utf-8"),
+        pytest.param(
+            REQUEST_WITHOUT_BODY.replace(b"q=1", b"q=\xc3\xa9"), [400], id="target"
+        ),
+        pytest.param(
+            REQUEST_WITHOUT_BODY.replace(b"x\r", b"x\r\n y\r"), [200], id="folded"
+        ),
+        pytest.param(REQUEST.replace(b"5", b"201"), [413], id="large-body"),
+        pytest.param(REQUEST.replace(b"5", b"9" * 19), [413], id="huge-length"),
+        pytest.param(REQUEST.replace(b"5", b"9" * 1500), [400], id="endless-length"),
+        pytest.param(REQUEST.replace(b"5", b"-5"), [400], id="negative-length"),
+        pytest.param(
+            REQUEST.replace(b"length: 5", b"length: 5\r\ncontent-length: 6"),
             [400],
             id="two-lengths",
         ),
-        pytest.param(CHUNKED.replace(b"5\r\n", b"zz\r\n"), [400], id="chunk-size"),
-        pytest.param(CHUNKED.replace(b"5\r\n", b"ff\r\n"), [400], id="short-chunk"),
         pytest.param(
-            BARE.replace(b"\r\n\r\n", b"\r\na: b" * 700 + b"\r\n\r\n"),
+            CHUNKED_REQUEST.replace(b"5\r\n", b"zz\r\n"), [400], id="chunk-size"
+        ),
+        pytest.param(
+            CHUNKED_REQUEST.replace(b"5\r\n", b"ff\r\n"), [400], id="short-chunk"
+        ),
+        pytest.param(
+            REQUEST_WITHOUT_BODY.replace(b"\r\n\r\n", b"\r\na: b" * 700 + b"\r\n\r\n"),
             [431],
             id="header-flood",
         ),
@@ -131,15 +145,19 @@
         ),
     ],
 )
-def test_input_has_its_defined_answer(bench, data, statuses):
-    assert read_statuses(bench.send(data)) == statuses
+def test_input_has_defined_response(shared_server, data, statuses):
+    assert read_statuses(shared_server.send(data)) == statuses
 
 
-REQUESTS = st.lists(st.sampled_from([GOOD, CHUNKED, BARE]), min_size=1, max_size=3)
+REQUESTS = st.lists(
+    st.sampled_from([REQUEST, CHUNKED_REQUEST, REQUEST_WITHOUT_BODY]),
+    min_size=1,
+    max_size=3,
+)
 
 
 @st.composite
-def draw_damaged(draw):
+def draw_corrupted_requests(draw):
     data = bytearray(b"".join(draw(REQUESTS)))
     for _ in range(draw(st.integers(0, 3))):
         position = draw(st.integers(0, max(len(data) - 1, 0)))
@@ -150,10 +168,12 @@
 
 
 @settings(max_examples=300)
-@given(data=st.binary(max_size=300) | draw_damaged(), split=st.integers(0, 100))
-def test_any_bytes_are_answered_or_dropped(bench, data, split):
-    assert set(read_statuses(bench.send(data, split))) <= DEFINED
-    assert read_statuses(bench.send(GOOD)) == [200]
+@given(
+    data=st.binary(max_size=300) | draw_corrupted_requests(), split=st.integers(0, 100)
+)
+def test_any_bytes_are_answered_or_connection_is_closed(shared_server, data, split):
+    assert set(read_statuses(shared_server.send(data, split))) <= ALLOWED_STATUSES
+    assert read_statuses(shared_server.send(REQUEST)) == [200]
 
 
 HEADERS = st.lists(
@@ -182,13 +202,13 @@
 @given(
     path=PATHS, headers=HEADERS, body=BODIES, method=st.sampled_from(["POST", "GET"])
 )
-def test_any_call_is_parsed_or_refused(path, headers, body, method):
+def test_any_call_is_parsed_or_rejected(path, headers, body, method):
     try:
         call = parse_call(WebRequest(method, path, "", headers, body))
     except IbisheadError as error:
-        refused = error
+        error_raised = error
     else:
         assert isinstance(call, Call)
         return
-    assert 400 <= refused.status < 500
-    assert refused.remedy
+    assert 400 <= error_raised.status < 500
+    assert error_raised.remedy
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents are parsed whole or refused with every fault, place and remedy."""
+"""Tests that documents are parsed in full, or rejected with a list of all faults."""
 
 from datetime import timedelta
 
@@ -80,7 +80,7 @@
 """
 
 
-def test_engine_document_is_parsed_whole():
+def test_engine_document_is_parsed():
     document = parse_document(ENGINE)
     assert document == ServiceDocument(
         service="mester",
@@ -101,7 +101,7 @@
     )
 
 
-def test_plain_document_is_parsed_whole():
+def test_plain_document_is_parsed():
     document = parse_document(PLAIN)
     assert document.kind is TargetKind.PLAIN
     assert document.routes == (Route("POST", "/issues", "issue"),)
@@ -175,7 +175,7 @@
         (PLAIN, "1.5 min", "2 d", "service", "claim_retention", "172800 s"),
     ],
 )
-def test_fault_names_place_and_remedy(text, old, new, section, option, hint):
+def test_fault_states_location_and_remedy(text, old, new, section, option, hint):
     assert old in text
     document, faults = check_document(text.replace(old, new, 1))
     assert document is None
@@ -184,21 +184,21 @@
     assert any(hint in fault.remedy for fault in found)
 
 
-def test_all_faults_are_told_at_once():
+def test_all_faults_are_reported_together():
     text = ENGINE.replace("0.8", "8").replace("30 s", "soon").replace("2.5", "-1")
     with pytest.raises(InvalidInput) as caught:
         parse_document(text + "[extra]\n")
     assert caught.value.code is ErrorCode.DOCUMENT_INVALID
-    for place in ("stall_weight", "deadline", "share", "[extra]"):
-        assert place in caught.value.message
+    for location in ("stall_weight", "deadline", "share", "[extra]"):
+        assert location in caught.value.message
 
 
-def test_key_in_clear_is_not_repeated():
+def test_plain_text_key_is_not_in_message():
     _, faults = check_document(ENGINE.replace(KEY, "sk-secret"))
     assert "sk-secret" not in "".join(map(str, faults))
 
 
-def test_key_of_two_callers_is_refused():
+def test_duplicate_key_of_two_callers_is_rejected():
     text = ENGINE + f"[caller:twin]\nteam = duna\nkey_sha256 = {KEY}\n"
     _, faults = check_document(text)
     assert [f.section for f in faults] == ["caller:twin"]
@@ -213,7 +213,7 @@
 @given(st.one_of(st.text(), st.lists(FRAGMENTS | st.text(max_size=5)).map("".join)))
 @example("[service]\nname\n x = 1")
 @example("[]\n=")
-def test_any_text_is_parsed_or_refused(text):
+def test_any_text_is_parsed_or_rejected(text):
     document, faults = check_document(text)
     assert (document is None) == bool(faults)
     assert all(fault.problem and fault.remedy for fault in faults)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are JSON, carry their fields and never a key."""
+"""Tests that log lines are JSON with all fields, and never contain an API key."""
 
 import io
 import json
@@ -26,7 +26,7 @@
     return [json.loads(line) for line in stream.getvalue().splitlines()]
 
 
-def test_line_carries_its_fields(stream):
+def test_line_has_all_fields(stream):
     logging.getLogger("ibishead.entry").info(
         "refused", extra={"request": "r1", "stage": "admit", "reason": "a\nb"}
     )
@@ -39,7 +39,7 @@
     assert line["time"].endswith("+00:00")
 
 
-def test_exception_stays_on_one_line(stream):
+def test_exception_is_logged_on_one_line(stream):
     try:
         raise ValueError("broken")
     except ValueError:
@@ -60,13 +60,13 @@
         {"nested": {"headers": [("proxy-authorization", "sk-1")]}},
     ],
 )
-def test_keys_are_never_written(stream, extra):
+def test_keys_are_redacted(stream, extra):
     logging.getLogger("x").warning("wrong key", extra=extra)
     assert "sk-1" not in stream.getvalue()
     assert "(redacted)" in stream.getvalue()
 
 
 @pytest.mark.parametrize("value", ["\ud800", float("nan"), {1: 2}, object(), b"\xff"])
-def test_any_field_can_be_written(stream, value):
+def test_any_field_value_can_be_logged(stream, value):
     logging.getLogger("x").warning("odd", extra={"value": value})
     assert len(read_lines(stream)) == 1
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics keep team and class apart and stay bounded."""
+"""Tests that metrics are separate by team and class, and limited in number."""
 
 import math
 
@@ -34,7 +34,7 @@
         (Measure.BATCH_FILL, 0.75, 'batch_fill_ratio_bucket{class="read",le="0.625"'),
     ],
 )
-def test_observations_are_shown_by_team_and_class(measure, value, line):
+def test_observations_are_exported_by_team_and_class(measure, value, line):
     metrics = Metrics("entry")
     metrics.observe(measure, "a", "read", value)
     metrics.observe(measure, "a", "read", value)
@@ -44,7 +44,7 @@
     assert 'class="read",team="b"} 1' in text
 
 
-def test_buckets_agree_with_the_library():
+def test_buckets_match_those_of_the_library():
     metrics, library = Metrics("entry"), Histogram(*BUCKET_BOUNDS_SECONDS)
     for value in [0.0, *BUCKET_BOUNDS_SECONDS, 0.0011, 77.0, 1e9]:
         metrics.observe(Measure.WAIT, "a", "read", value)
@@ -57,7 +57,7 @@
         )
 
 
-def test_counters_and_gauges_are_shown():
+def test_counters_and_gauges_are_exported():
     metrics = Metrics("agent")
     metrics.count_refusal(ErrorCode.OVERLOADED)
     metrics.count_request("a", "read", Outcome.NOT_RUN)
@@ -71,13 +71,13 @@
     assert "ibishead_agent_running 2" in text
 
 
-def test_programs_in_one_process_do_not_mix():
+def test_programs_in_one_process_have_separate_metrics():
     first, second = Metrics("entry"), Metrics("entry")
     first.count_event("x")
     assert "events_total{" not in render(second)
 
 
-def test_pairs_beyond_the_bound_share_one():
+def test_label_pairs_beyond_the_limit_share_one():
     metrics = Metrics("entry")
     for n in range(MAX_LABEL_PAIRS + 50):
         metrics.observe(Measure.WAIT, f"t{n}", "read", 0.0)
--- a/tests/test_metricsserver.py
+++ b/tests/test_metricsserver.py
@@ -1,4 +1,4 @@
-"""Metrics as a scraper sees them."""
+"""Tests of the HTTP server for metrics."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(("path", "status"), [("/metrics", 200), ("/other", 404)])
-async def test_what_a_scraper_reads(path, status):
+async def test_scrape_returns_metrics(path, status):
     metrics = Metrics("gateway")
     metrics.count_request(TeamId("plans"), ClassName("r"), Outcome.COMPLETED)
     metrics.observe(Measure.WAIT, TeamId("plans"), ClassName("r"), 0.2)
@@ -21,8 +21,8 @@
     try:
         found, _ = await connection.ask("GET", path, (("host", "x"),), b"")
         body = b""
-        while (piece := await connection.read()) is not None:
-            body += piece
+        while (chunk := await connection.read()) is not None:
+            body += chunk
     finally:
         connection.close()
         await server.stop()
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""The operators' page says what the programs do."""
+"""Tests that the operators' documentation matches the programs."""
 
 import re
 from pathlib import Path
@@ -42,7 +42,7 @@
     assert check_document(example)[1] == ()
 
 
-def test_all_options_of_the_entry_example_are_the_defaults(tmp_path):
+def test_limits_of_entry_example_are_the_defaults(tmp_path):
     (example,) = find_examples("settings=entry")
     path = tmp_path / "settings.ini"
     path.write_text(example)
@@ -52,12 +52,12 @@
 
 
 @pytest.mark.parametrize("code", list(ErrorCode))
-def test_every_code_has_a_remedy(code):
+def test_every_error_code_is_documented(code):
     assert re.search(rf"^\|[^|]*`{code.value}`", TEXT, re.MULTILINE)
 
 
 @pytest.mark.parametrize("name", sorted(main.commands))
-def test_every_command_and_option_is_told(name):
+def test_every_command_and_option_is_documented(name):
     assert re.search(rf"^\| `ibishead {name}\b", TEXT, re.MULTILINE)
     for parameter in main.commands[name].params:
         if isinstance(parameter, click.Option):
@@ -65,5 +65,5 @@
 
 
 @pytest.mark.parametrize("code", list(ExitCode))
-def test_every_exit_code_is_told(code):
+def test_every_exit_code_is_documented(code):
     assert re.search(rf"^\| {code.value} \|", TEXT, re.MULTILINE)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are loaded whole, or every fault is told at once."""
+"""Tests that settings are loaded in full, or rejected with a list of all faults."""
 
 import contextlib
 from datetime import timedelta
@@ -88,8 +88,8 @@
 admin_keys_sha256 = {"ab" * 32}
 """
 
-OPEN = CONTROL[CONTROL.index("[operators]") :]
-OPEN_TO_ALL = "[operators]\naddress = 10.0.0.1\nport = 0\n"
+OPERATORS_ON_LOOPBACK = CONTROL[CONTROL.index("[operators]") :]
+OPERATORS_WITHOUT_KEYS = "[operators]\naddress = 10.0.0.1\nport = 0\n"
 
 LOADERS = [
     (ENTRY, load_entry_settings),
@@ -176,15 +176,20 @@
         (CONTROL, "c4 =", "c3 =", "[spares] c3: also listed in [peers]"),
         (CONTROL, "7004", "7003", "[peers]: two replicas share"),
         (CONTROL, "ab" * 32, "secret", "[operators] admin_keys_sha256"),
-        (CONTROL, OPEN, OPEN_TO_ALL, "[operators] admin_keys_sha256: missing"),
+        (
+            CONTROL,
+            OPERATORS_ON_LOOPBACK,
+            OPERATORS_WITHOUT_KEYS,
+            "[operators] admin_keys_sha256: missing",
+        ),
     ],
 )
-def test_fault_names_its_place(load, text, old, new, place):
+def test_fault_states_its_location(load, text, old, new, place):
     assert old in text
     loader = dict(LOADERS)[text]
     changed = text.replace(old, new, 1)
     if not place:
-        # A fenced target needs no lock; one that is not fenced does
+        # Only a target that is not fenced requires a lock
         load(changed, loader)
         changed = changed.replace("fenced = yes", "")
         place = "[agent] lock: missing"
@@ -194,7 +199,7 @@
     assert "secret" not in str(caught.value)
 
 
-def test_all_faults_are_told_at_once(load):
+def test_all_faults_are_reported_together(load):
     text = ENTRY.replace("host = e1", "").replace("9001", "x") + "[more]\n"
     with pytest.raises(SettingsFault) as caught:
         load(text, load_entry_settings)
@@ -209,7 +214,7 @@
         load_entry_settings(tmp_path / "absent")
 
 
-def test_port_file_holds_the_port(tmp_path):
+def test_port_file_contains_the_port(tmp_path):
     listen = ListenSettings(Endpoint("127.0.0.1", 0), tmp_path / "port")
     write_port_file(listen, 4711)
     assert (tmp_path / "port").read_text() == "4711\n"
@@ -218,7 +223,7 @@
 
 
 @pytest.mark.parametrize("text", ["127.0.0.1:80", "[::1]:80"])
-def test_endpoint_is_read_as_it_is_written(text):
+def test_endpoint_text_round_trips(text):
     assert str(parse_endpoint(text)) == text
 
 
@@ -226,7 +231,7 @@
     base=st.sampled_from(LOADERS),
     edits=st.lists(st.tuples(st.integers(0, 40), st.text(max_size=20)), max_size=4),
 )
-def test_any_text_is_loaded_or_refused(tmp_path_factory, base, edits):
+def test_any_text_is_loaded_or_rejected(tmp_path_factory, base, edits):
     text, loader = base
     lines = text.splitlines()
     for number, line in edits:
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""A program checks its settings whole before it serves."""
+"""Tests that a program validates its settings in full before it starts serving."""
 
 import asyncio
 
@@ -43,11 +43,11 @@
     return start
 
 
-def test_good_settings_are_served(start):
+def test_program_runs_with_valid_settings(start):
     assert start(SETTINGS) == (0, "", "", ["e1"])
 
 
-def test_check_does_not_serve(start):
+def test_check_does_not_run_program(start):
     exit_code, stdout, _, served = start(SETTINGS, "--check-settings")
     assert (exit_code, served) == (0, [])
     assert "is valid" in stdout
@@ -57,12 +57,12 @@
     ("text", "shown"),
     [
         (SETTINGS + "[loggs]\n", "[loggs]: unknown section; did you mean logs?"),
-        # Readable files, but no certificates
+        # The files are readable, but are not certificates
         (SETTINGS + TLS, "name the authority's certificate in PEM"),
     ],
 )
 @pytest.mark.parametrize("arguments", [(), ("--check-settings",)])
-def test_faults_end_the_start(start, text, shown, arguments):
+def test_faults_prevent_start(start, text, shown, arguments):
     exit_code, _, stderr, served = start(text, *arguments)
     assert (exit_code, served) == (2, [])
     assert shown in stderr
