--- a/tests/test_metricsserver.py
+++ b/tests/test_metricsserver.py
@@ -19,7 +19,7 @@
     endpoint = await server.start(Endpoint("127.0.0.1", 0))
     connection = await TargetConnection.open(endpoint)
     try:
-        found, _ = await connection.ask("GET", path, (("host", "x"),), b"")
+        found, _ = await connection.request("GET", path, (("host", "x"),), b"")
         body = b""
         while (chunk := await connection.read()) is not None:
             body += chunk
