--- a/src/ibishead/inifile.py
+++ b/src/ibishead/inifile.py
@@ -409,6 +409,6 @@
         default_section="",
         interpolation=None,
     )
-    # Adapter names are case-sensitive, but the library lower-cases option names
+    # Adapter names are case-sensitive, but the library lower-cases options
     parser.optionxform = str  # type: ignore[assignment, method-assign]
     return parser
--- a/src/ibishead/operator/client.py
+++ b/src/ibishead/operator/client.py
@@ -88,16 +88,16 @@
         :raises IbisheadError: a server refused the request.
         """
         deadline = self.clock.monotonic() + self.timeout
-        answer_lost = False
+        response_lost = False
         while True:
             for server in self.servers:
                 try:
                     return await self.request_from(server, method, target, body)
                 except (LinkLost, OutcomeUnknown, Unavailable) as error:
                     last_error: IbisheadError = error
-                    answer_lost = answer_lost or isinstance(error, OutcomeUnknown)
+                    response_lost = response_lost or isinstance(error, OutcomeUnknown)
                 except (Forbidden, Unauthorized) as error:
-                    if answer_lost:
+                    if response_lost:
                         raise _make_outcome_unknown(error) from error
                     raise
             if self.clock.monotonic() + ROUND_PAUSE_SECONDS >= deadline:
@@ -107,7 +107,8 @@
     async def request_once(self, method: str, target: str, body: bytes = b"") -> bytes:
         """Send a request that must not be repeated, and return the response body.
 
-        The next server is tried only if the request can't have been accepted.
+        The next server is tried if a server can't be reached or responds with a status
+        of 500 or above.
 
         :raises LinkLost: no server could be reached; nothing was sent.
         :raises OutcomeUnknown: the response was lost after the request was sent.
