--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -271,7 +271,7 @@
     Guard(
         "no lease on either side, no run",
         "agent/gate.py",
-        "if unconfirmed_run and state.unconfirmed is Unconfirmed.REFUSE:",
+        "if unconfirmed_run and state.unconfirmed is UnconfirmedPolicy.REFUSE:",
         "if False:",
         (f"{GATE}::test_gate_decides",),
     ),
--- a/src/ibishead/agent/agent.py
+++ b/src/ibishead/agent/agent.py
@@ -10,7 +10,7 @@
 from ibishead.agent.scheduler import Scheduler, TargetConfig
 from ibishead.agent.target import TargetClient
 from ibishead.clock import Clock
-from ibishead.documents import Unconfirmed
+from ibishead.documents import UnconfirmedPolicy
 from ibishead.links import Dialer, Endpoint, Link, dial
 from ibishead.messages import AskRegistration, Hello, Role, TargetKind
 from ibishead.metrics import Metrics
@@ -117,7 +117,7 @@
             document=None if held is None else held.record,
             current=self._subscription.is_current(),
             unconfirmed=(
-                Unconfirmed.REFUSE if held is None else held.document.unconfirmed
+                UnconfirmedPolicy.REFUSE if held is None else held.document.unconfirmed
             ),
         )
 
--- a/src/ibishead/agent/gate.py
+++ b/src/ibishead/agent/gate.py
@@ -8,7 +8,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from ibishead.documents import Unconfirmed
+from ibishead.documents import UnconfirmedPolicy
 from ibishead.errors import ErrorCode
 from ibishead.ids import Incarnation, RequestId
 from ibishead.messages import Dispatch, DocumentRecord
@@ -48,7 +48,7 @@
     draining: bool
     document: DocumentRecord | None
     current: bool
-    unconfirmed: Unconfirmed = Unconfirmed.REFUSE
+    unconfirmed: UnconfirmedPolicy = UnconfirmedPolicy.REFUSE
 
 
 @dataclass(frozen=True)
@@ -150,7 +150,7 @@
         )
     # Without a valid lease on either side, a newer document may be in force elsewhere.
     unconfirmed_run = not dispatch.confirmed and not state.current
-    if unconfirmed_run and state.unconfirmed is Unconfirmed.REFUSE:
+    if unconfirmed_run and state.unconfirmed is UnconfirmedPolicy.REFUSE:
         return Rejected(
             ErrorCode.NO_QUORUM,
             "no valid lease from a control quorum covers the document",
--- a/src/ibishead/documents.py
+++ b/src/ibishead/documents.py
@@ -37,7 +37,7 @@
     "RequestClass",
     "Route",
     "ServiceDocument",
-    "Unconfirmed",
+    "UnconfirmedPolicy",
     "check_document",
     "parse_document",
 ]
@@ -60,7 +60,7 @@
 _PLACEHOLDERS = frozenset({"{adapter}", "{version}"})
 
 
-class Unconfirmed(Enum):
+class UnconfirmedPolicy(Enum):
     """What an entry host does when it can't confirm that its document is current.
 
     :ivar REFUSE: refuse requests.
@@ -150,7 +150,7 @@
     operators: tuple[str, ...] = ()
     stall_weight: float = 0.5
     claim_retention: timedelta = timedelta(hours=24)
-    unconfirmed: Unconfirmed = Unconfirmed.REFUSE
+    unconfirmed: UnconfirmedPolicy = UnconfirmedPolicy.REFUSE
 
 
 def parse_document(text: str) -> ServiceDocument:
@@ -211,7 +211,7 @@
             "claim_retention", parse_duration, timedelta(hours=24)
         ),
         unconfirmed=section.read(
-            "unconfirmed", parse_choice(Unconfirmed), Unconfirmed.REFUSE
+            "unconfirmed", parse_choice(UnconfirmedPolicy), UnconfirmedPolicy.REFUSE
         ),
     )
     section.report_unknown_options()
--- a/tests/agent/test_gate.py
+++ b/tests/agent/test_gate.py
@@ -11,7 +11,7 @@
     GateState,
     Rejected,
 )
-from ibishead.documents import Unconfirmed
+from ibishead.documents import UnconfirmedPolicy
 from ibishead.errors import ErrorCode
 from ibishead.ids import (
     AdapterName,
@@ -75,7 +75,7 @@
         ({"confirmed": False}, {"current": False}, ErrorCode.NO_QUORUM),
         (
             {"confirmed": False},
-            {"current": False, "unconfirmed": Unconfirmed.SERVE},
+            {"current": False, "unconfirmed": UnconfirmedPolicy.SERVE},
             None,
         ),
     ],
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -12,7 +12,7 @@
     RequestClass,
     Route,
     ServiceDocument,
-    Unconfirmed,
+    UnconfirmedPolicy,
     check_document,
     parse_document,
 )
@@ -97,7 +97,7 @@
         operators=(OTHER_KEY,),
         stall_weight=0.8,
         claim_retention=timedelta(hours=48),
-        unconfirmed=Unconfirmed.SERVE,
+        unconfirmed=UnconfirmedPolicy.SERVE,
     )
 
 
@@ -107,7 +107,7 @@
     assert document.routes == (Route("POST", "/issues", "issue"),)
     assert document.classes["issue"].deadline == timedelta(seconds=90)
     assert not document.classes["issue"].idempotent
-    assert document.unconfirmed is Unconfirmed.REFUSE
+    assert document.unconfirmed is UnconfirmedPolicy.REFUSE
 
 
 def test_three_thousand_adapters_are_parsed():
