--- a/src/ibishead/logs.py
+++ b/src/ibishead/logs.py
@@ -106,7 +106,7 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.value.upper())
-    # The library logs every handshake at a lower level
+    # At lower levels the library logs every handshake, which is too verbose
     logging.getLogger("websockets").setLevel(logging.WARNING)
     logging.getLogger("asyncio").setLevel(logging.WARNING)
 
