--- a/deploy/launch.py
+++ b/deploy/launch.py
@@ -1,9 +1,9 @@
-"""Starts a program of ibishead from the sources that the build has laid out."""
+"""Starts a program of ibishead from the directory that the build has created."""
 
 import signal
 import sys
 
-# a reload that comes before the program is ready must not end it
+# a reload signal that arrives before the program is ready must not terminate it
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
--- a/src/ibishead/platform/__init__.py
+++ b/src/ibishead/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Translates between the platform's wire and settings and ibishead's own types.
+"""Adapts ibishead to the platform: its HTTP protocol and its settings file.
 
-Nothing here decides or remembers; names of the wire are decoded once and go no further.
+These modules are stateless translations into ibishead's own types and back. Names of
+the platform's protocol are decoded here and used nowhere else.
 """
--- a/src/ibishead/platform/bodies.py
+++ b/src/ibishead/platform/bodies.py
@@ -1,6 +1,6 @@
-"""JSON bodies of the platform's calls, and what their fields mean.
+"""Decodes and encodes the JSON bodies of the platform's calls.
 
-Several names serve more than one call; the comments say what each holds here.
+The same field name has different meanings in different bodies; comments give each one.
 """
 
 from ipaddress import ip_address
@@ -29,7 +29,7 @@
 from ibishead.steward.engine import EngineState, WeightOrder
 
 __all__ = [
-    "decode_farewell",
+    "decode_deregistration",
     "decode_heartbeat",
     "decode_report",
     "decode_routes",
@@ -48,33 +48,35 @@
 class _Holding(msgspec.Struct):
     name: str
     version: int = 1
-    # each as NAME@VERSION, without a version before the first new one was named
+    # NAME@VERSION each, or NAME alone until a new version has been announced
     adapters: list[str] = []
 
 
 class _Heartbeat(msgspec.Struct):
-    # name of the service, not of the target
+    # the service, not the target
     backend: str
     address: str
     zone: str
     slots: int
     state: str
-    # counts the target's calls of this kind, not its orders
+    # number of this heartbeat; unrelated to the count of orders
     seq: int
-    # milliseconds since 1970 of the target's start
+    # start of the target in milliseconds since 1970
     born: int = 0
+    # time for which the target is still slow after its start
     cold_ms: float = 0
+    # time until the target is gone, whatever it runs then
     remaining_ms: float | None = None
-    # of the target's software, not of its weights
+    # of the target's software, not of its weights; unused
     version: str = ""
     models: list[_Holding] = []
 
 
-class _Farewell(msgspec.Struct):
+class _Deregistration(msgspec.Struct):
     born: int = 0
 
 
-class _AtHand(msgspec.Struct):
+class _CachedModels(msgspec.Struct):
     # names of models
     in_memory: list[str] = []
     on_disk: list[str] = []
@@ -83,23 +85,23 @@
 class _Report(msgspec.Struct):
     models: list[_Holding]
     busy: bool
-    # counts the orders that the engine has accepted
+    # number of orders that the engine has accepted
     seq: int
     queued: int = 0
     running: int = 0
-    # only what can't yield
+    # key-value cache in tokens; used is only what can't be evicted
     kv_used: int = 0
     kv_total: int = 0
     born: int = 0
-    # of the engine: ready, or it takes no new requests for long
+    # anything but ready: the engine will soon accept no new requests
     state: str = "ready"
-    # copies of weights, in place or not
-    at_hand: _AtHand = msgspec.field(default_factory=_AtHand)
-    # adapters on their way, each as MODEL/NAME@VERSION
+    # copies of models, whether loaded or not
+    at_hand: _CachedModels = msgspec.field(default_factory=_CachedModels)
+    # adapters being loaded, MODEL/NAME@VERSION each
     pending: list[str] = []
 
 
-class _Split(msgspec.Struct):
+class _SplitPart(msgspec.Struct):
     backend: str
     weight: float
 
@@ -112,9 +114,9 @@
     timeout_ms: float
     target_latency_ms: float = 0
     priority: int = 0
-    # a service; absent where the traffic is split
+    # the service; None where the traffic is split
     backend: str | None = None
-    traffic_split: list[_Split] | None = None
+    traffic_split: list[_SplitPart] | None = None
     max_attempts: int = 1
     resumable: bool = False
     target_gap_ms: float = 0
@@ -124,8 +126,9 @@
     name: str
     # size of the weights
     weights_mb: float
+    # load time from the weight store
     load_s: float = 0
-    # loads from the engine's own disk and memory
+    # load times from the engine's local disk and from its host memory
     disk_s: float = 0
     warm_s: float = 0
     adapter_size_mb: float = 0
@@ -133,12 +136,12 @@
 
 class _Engine(msgspec.Struct):
     slots: int
-    # tokens of one engine's memory
+    # key-value cache of one engine in tokens
     kv_capacity: int = 0
-    # room for weights and adapters together, on one engine
+    # memory of one engine for models and adapters together
     weights_mb: float = 0
     adapter_slots: int = 0
-    # tokens in one event of a stream
+    # tokens per event of a stream
     stride: int = 1
     models: list[_Model] = []
 
@@ -157,17 +160,17 @@
     idle_timeout_ms: float = 15000
 
 
-class _Config(msgspec.Struct):
-    # of the whole set of routes
+class _RouteConfig(msgspec.Struct):
+    # of the whole route set
     version: int
     routes: list[_Route]
     services: list[_Service]
     limits: _Limits = msgspec.field(default_factory=_Limits)
 
 
-class _Version(msgspec.Struct):
+class _NewVersion(msgspec.Struct):
     model: str
-    # of an adapter, or of the model itself where none is named
+    # of the adapter, or of the model itself if no adapter is named
     version: int
     adapter: str = ""
 
@@ -175,7 +178,7 @@
 class _Order(msgspec.Struct, omit_defaults=True):
     op: str
     model: str
-    # the count of accepted orders that the engine must still have
+    # number of accepted orders; the engine refuses the order if its own differs
     expected: int
     holder: str
     fence: int
@@ -184,80 +187,95 @@
 
 
 _HEARTBEAT = msgspec.json.Decoder(_Heartbeat)
-_FAREWELL = msgspec.json.Decoder(_Farewell)
+_DEREGISTRATION = msgspec.json.Decoder(_Deregistration)
 _REPORT = msgspec.json.Decoder(_Report)
-_CONFIG = msgspec.json.Decoder(_Config)
-_VERSION = msgspec.json.Decoder(_Version)
+_CONFIG = msgspec.json.Decoder(_RouteConfig)
+_VERSION = msgspec.json.Decoder(_NewVersion)
 
 
 def decode_heartbeat(target: str, body: bytes) -> Registration:
-    """Return what a target says of itself.
+    """Decode a heartbeat.
 
-    :raises InvalidInput: it can't be read, or names a state that isn't known.
+    :param target: ID of the target, from the path of the call.
+    :raises InvalidInput: the body is malformed, or a value is invalid.
     """
-    said = _decode(_HEARTBEAT, body)
-    state = _STATES.get(said.state)
+    heartbeat = _decode(_HEARTBEAT, body)
+    state = _STATES.get(heartbeat.state)
     if state is None:
-        raise InvalidInput(f"unknown state {said.state!r}", "send a known one")
-    if not target or not said.backend or said.slots < 1 or said.seq < 0:
-        raise InvalidInput("a field is empty or out of range", "send it whole")
-    _check_address(said.address)
-    left = None if said.remaining_ms is None else said.remaining_ms / 1000
+        raise InvalidInput(
+            f"unknown target state {heartbeat.state!r}", "send ready or draining"
+        )
+    if not target or not heartbeat.backend or heartbeat.slots < 1 or heartbeat.seq < 0:
+        raise InvalidInput(
+            "target ID or backend is empty, or slots or seq is out of range",
+            "send names, at least one slot and a seq that isn't negative",
+        )
+    _check_address(heartbeat.address)
+    remaining = (
+        None if heartbeat.remaining_ms is None else heartbeat.remaining_ms / 1000
+    )
     return Registration(
         TargetId(target),
-        ServiceName(said.backend),
-        said.address,
-        FailureDomain(said.zone),
-        said.slots,
+        ServiceName(heartbeat.backend),
+        heartbeat.address,
+        FailureDomain(heartbeat.zone),
+        heartbeat.slots,
         state,
-        said.born,
-        said.seq,
-        said.cold_ms / 1000,
-        left,
-        _read_holdings(said.models),
+        heartbeat.born,
+        heartbeat.seq,
+        heartbeat.cold_ms / 1000,
+        remaining,
+        _read_holdings(heartbeat.models),
     )
 
 
-def decode_farewell(body: bytes) -> int:
-    """Return the start of the life that a farewell ends, 0 where it isn't told."""
-    return _decode(_FAREWELL, body).born if body.strip() else 0
+def decode_deregistration(body: bytes) -> int:
+    """Decode a deregistration.
+
+    :returns: start of the instance that ends, in milliseconds since 1970; 0 if the body
+        doesn't say.
+    :raises InvalidInput: the body is malformed.
+    """
+    return _decode(_DEREGISTRATION, body).born if body.strip() else 0
 
 
 def decode_report(body: bytes) -> EngineState:
-    """Return an engine's report of itself.
+    """Decode an engine's report.
 
-    :raises InvalidInput: it can't be read.
+    :raises InvalidInput: the body is malformed.
     """
-    said = _decode(_REPORT, body)
+    report = _decode(_REPORT, body)
     return EngineState(
-        said.born,
-        said.seq,
-        said.busy,
-        _read_holdings(said.models),
-        tuple(_read_pending(entry) for entry in said.pending),
-        said.running,
-        said.queued,
-        said.kv_used,
-        said.kv_total,
-        _STATES.get(said.state) is not TargetState.READY,
-        frozenset(map(ModelName, said.at_hand.in_memory)),
-        frozenset(map(ModelName, said.at_hand.on_disk)),
+        report.born,
+        report.seq,
+        report.busy,
+        _read_holdings(report.models),
+        tuple(_read_pending(entry) for entry in report.pending),
+        report.running,
+        report.queued,
+        report.kv_used,
+        report.kv_total,
+        _STATES.get(report.state) is not TargetState.READY,
+        frozenset(map(ModelName, report.at_hand.in_memory)),
+        frozenset(map(ModelName, report.at_hand.on_disk)),
     )
 
 
 def decode_routes(body: bytes) -> RouteSet:
-    """Return a route set.
+    """Decode a route set.
 
-    :raises InvalidInput: it can't be read in full.
+    :raises InvalidInput: the body is malformed, or a value is invalid.
     """
-    said = _decode(_CONFIG, body)
-    if said.version < 1:
-        raise InvalidInput(f"version {said.version} is none", "name one above zero")
-    limits = said.limits
+    config = _decode(_CONFIG, body)
+    if config.version < 1:
+        raise InvalidInput(
+            f"invalid version {config.version}", "send a version above zero"
+        )
+    limits = config.limits
     return RouteSet(
-        said.version,
-        tuple(_read_route(route) for route in said.routes),
-        tuple(_read_service(service) for service in said.services),
+        config.version,
+        tuple(_read_route(route) for route in config.routes),
+        tuple(_read_service(service) for service in config.services),
         CallerLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
@@ -268,18 +286,19 @@
 
 
 def decode_version(body: bytes) -> tuple[WeightKey, int]:
-    """Return which weights have a new version, and its number.
+    """Decode the announcement of a new version of weights.
 
-    :raises InvalidInput: it can't be read.
+    :returns: the weights and the number of their new version.
+    :raises InvalidInput: the body is malformed or names no model.
     """
-    said = _decode(_VERSION, body)
-    if not said.model:
-        raise InvalidInput("no model is named", "name it")
-    return WeightKey(ModelName(said.model), said.adapter), said.version
+    announced = _decode(_VERSION, body)
+    if not announced.model:
+        raise InvalidInput("the field model is empty", "send the model's name")
+    return WeightKey(ModelName(announced.model), announced.adapter), announced.version
 
 
 def encode_order(order: WeightOrder) -> bytes:
-    """Return the body of an order."""
+    """Encode an order."""
     return msgspec.json.encode(
         _Order(
             "load" if order.load else "unload",
@@ -298,7 +317,7 @@
         return decoder.decode(body)
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
         raise InvalidInput(
-            f"the body can't be read: {error}", "send JSON with all fields"
+            f"the body can't be decoded: {error}", "send JSON with all fields"
         ) from error
 
 
@@ -318,19 +337,22 @@
     try:
         return AdapterRef(name, int(version) if version else 1)
     except ValueError as error:
-        raise InvalidInput(f"no adapter: {entry!r}", "send NAME@VERSION") from error
+        raise InvalidInput(f"invalid adapter {entry!r}", "send NAME@VERSION") from error
 
 
 def _read_pending(entry: str) -> tuple[WeightKey, AdapterRef]:
     model, _, adapter = entry.partition("/")
-    found = _read_adapter(adapter)
-    return WeightKey(ModelName(model), found.name), found
+    ref = _read_adapter(adapter)
+    return WeightKey(ModelName(model), ref.name), ref
 
 
 def _read_route(route: _Route) -> Route:
     kind = _KINDS.get(route.kind)
     if kind is None:
-        raise InvalidInput(f"unknown kind {route.kind!r}", "name a known one")
+        raise InvalidInput(
+            f"unknown route kind {route.kind!r}",
+            "send idempotent, non_idempotent or streaming",
+        )
     if route.traffic_split is not None:
         shares = tuple(
             Share(ServiceName(part.backend), part.weight)
@@ -339,7 +361,9 @@
     elif route.backend is not None:
         shares = (Share(ServiceName(route.backend), 1.0),)
     else:
-        raise InvalidInput(f"route {route.name} names no service", "name one")
+        raise InvalidInput(
+            f"route {route.name} names no service", "send backend or traffic_split"
+        )
     return Route(
         route.name,
         route.hostname.lower(),
@@ -391,4 +415,4 @@
     except ValueError:
         valid = False
     if not valid:
-        raise InvalidInput(f"no address: {address!r}", "send IP:PORT")
+        raise InvalidInput(f"invalid address {address!r}", "send IP:PORT")
--- a/src/ibishead/platform/doors.py
+++ b/src/ibishead/platform/doors.py
@@ -1,4 +1,4 @@
-"""The registry's door for the platform's targets and operators."""
+"""HTTP API of the registry for the platform's targets and operators."""
 
 import logging
 import re
@@ -8,7 +8,7 @@
 from ibishead.headers import Headers
 from ibishead.ids import TargetId
 from ibishead.platform.bodies import (
-    decode_farewell,
+    decode_deregistration,
     decode_heartbeat,
     decode_routes,
     decode_version,
@@ -16,29 +16,31 @@
 from ibishead.registry.service import ElsewhereError, RegistryService
 from ibishead.web import Exchange, WebRequest, encode_error
 
-__all__ = ["make_door"]
+__all__ = ["make_http_handler"]
 
 logger = logging.getLogger(__name__)
 
-_INSTANCE = re.compile(r"/api/instances/([^/]+)/(heartbeat|deregister)")
+_INSTANCE_PATH = re.compile(r"/api/instances/([^/]+)/(heartbeat|deregister)")
 _JSON: Headers = (("content-type", "application/json"),)
-_DONE = b"{}"
+_EMPTY_OBJECT = b"{}"
 
 
-def make_door(service: RegistryService) -> Callable[[Exchange], Awaitable[None]]:
+def make_http_handler(
+    service: RegistryService,
+) -> Callable[[Exchange], Awaitable[None]]:
     """Return the handler of a registry's HTTP server."""
 
-    async def answer(exchange: Exchange) -> None:
+    async def handle(exchange: Exchange) -> None:
         request = exchange.request
         try:
-            body = await _answer(service, request)
+            body = await _dispatch(service, request)
         except ElsewhereError as error:
             location = f"http://{error.address}{request.target}"
             await exchange.respond(307, (("location", location),))
             return
         except IbisheadError as error:
             logger.info(
-                "call refused",
+                "API request failed",
                 extra={
                     "method": request.method,
                     "path": request.path,
@@ -46,37 +48,41 @@
                     "reason": error.message,
                 },
             )
-            headers, shown = encode_error(error)
-            await exchange.respond(error.status, headers, shown)
+            headers, content = encode_error(error)
+            await exchange.respond(error.status, headers, content)
             return
         await exchange.respond(200, _JSON, body)
 
-    return answer
+    return handle
 
 
-async def _answer(service: RegistryService, request: WebRequest) -> bytes:
+async def _dispatch(service: RegistryService, request: WebRequest) -> bytes:
     match request.method, request.path:
-        case "POST", path if (found := _INSTANCE.fullmatch(path)) is not None:
-            _take_statement(service, found[1], found[2], request.body)
-            return _DONE
+        case "POST", path if (found := _INSTANCE_PATH.fullmatch(path)) is not None:
+            _handle_instance_call(service, found[1], found[2], request.body)
+            return _EMPTY_OBJECT
         case "POST", "/api/config/put":
             await service.put_routes(decode_routes(request.body), request.body)
-            return _DONE
+            return _EMPTY_OBJECT
         case "GET", "/api/config/get":
             document = await service.read_routes()
             if not document:
-                raise Unavailable("no routes were accepted yet", "send them")
+                raise Unavailable(
+                    "no route set has been accepted yet", "send one to /api/config/put"
+                )
             return document
         case "POST", "/api/version-put":
             await service.raise_floor(*decode_version(request.body))
-            return _DONE
-    raise NotFound(f"no call {request.method} {request.path}", "check the path")
+            return _EMPTY_OBJECT
+    raise NotFound(
+        f"unknown call {request.method} {request.path}", "check method and path"
+    )
 
 
-def _take_statement(
+def _handle_instance_call(
     service: RegistryService, target: str, kind: str, body: bytes
 ) -> None:
     if kind == "heartbeat":
         service.announce(decode_heartbeat(target, body))
     else:
-        service.take_leave(TargetId(target), decode_farewell(body))
+        service.take_leave(TargetId(target), decode_deregistration(body))
--- a/src/ibishead/platform/engines.py
+++ b/src/ibishead/platform/engines.py
@@ -1,4 +1,4 @@
-"""Orders and reports of the platform's model engines."""
+"""Client of the platform's model engines: sends orders and reads reports."""
 
 import asyncio
 import logging
@@ -8,29 +8,30 @@
 from ibishead.ids import TargetId
 from ibishead.links import Endpoint
 from ibishead.platform.bodies import decode_report, encode_order
-from ibishead.steward.engine import EngineState, OrderEnd, WeightOrder
+from ibishead.steward.engine import EngineState, OrderOutcome, WeightOrder
 from ibishead.webclient import ClientConnection
 
 __all__ = ["PlatformEngine"]
 
 logger = logging.getLogger(__name__)
 
-#: Seconds in which an engine on the same host reports. It takes milliseconds; a host
-#: that is slowed down needs some times as long.
-ANSWER_TIME = 0.6
-
-_ENDS = {
-    200: OrderEnd.HOLDS,
-    202: OrderEnd.STARTED,
-    400: OrderEnd.IMPOSSIBLE,
-    409: OrderEnd.BUSY,
-    412: OrderEnd.FENCED,
-    421: OrderEnd.OTHER_LIFE,
+#: Seconds to wait for a report of an engine on the same host. The engine answers within
+#: milliseconds, but a host that is slowed down takes several times as long.
+ANSWER_TIMEOUT_SECONDS = 0.6
+
+#: Outcome of an order by the status code of its answer.
+_OUTCOMES = {
+    200: OrderOutcome.COMPLETED,
+    202: OrderOutcome.STARTED,
+    400: OrderOutcome.IMPOSSIBLE,
+    409: OrderOutcome.BUSY,
+    412: OrderOutcome.FENCED,
+    421: OrderOutcome.WRONG_INSTANCE,
 }
 
 
 class PlatformEngine:
-    """The engine at one address, over one kept connection."""
+    """Client of the engine at one address, over one persistent connection."""
 
     def __init__(self, endpoint: Endpoint) -> None:
         self._endpoint = endpoint
@@ -39,59 +40,70 @@
     async def read_state(self) -> EngineState:
         """Return the engine's report.
 
-        :raises LinkLost: it doesn't answer, or not in a way that can be read.
+        :raises LinkLost: the engine doesn't answer, or its answer can't be decoded.
         """
-        status, body, _ = await self._ask("GET", "/api/report", (), b"", ANSWER_TIME)
+        status, body, _ = await self._request(
+            "GET", "/api/report", (), b"", ANSWER_TIMEOUT_SECONDS
+        )
         if status != 200:
-            raise LinkLost(f"no report: status {status}", "check the engine's log")
+            raise LinkLost(
+                f"the engine answered its report with status {status}",
+                "check the engine's log",
+            )
         try:
             return decode_report(body)
         except InvalidInput as error:
-            raise LinkLost(f"no report: {error.message}", error.remedy) from error
+            raise LinkLost(
+                f"invalid engine report: {error.message}", error.remedy
+            ) from error
 
-    async def read_name(self, health_path: str) -> TargetId | None:
-        """Return the name of the engine's present life, none while it isn't healthy.
+    async def read_target_id(self, health_path: str) -> TargetId | None:
+        """Return the ID of the running engine instance, None if it isn't healthy.
 
-        :raises LinkLost: it doesn't answer.
+        :param health_path: path of the engine's health check.
+        :raises LinkLost: the engine doesn't answer.
         """
-        status, _, headers = await self._ask("GET", health_path, (), b"", ANSWER_TIME)
-        name = find_header(headers, "instance-id")
-        return TargetId(name) if status == 200 and name else None
+        status, _, headers = await self._request(
+            "GET", health_path, (), b"", ANSWER_TIMEOUT_SECONDS
+        )
+        target = find_header(headers, "instance-id")
+        return TargetId(target) if status == 200 and target else None
 
-    async def order(self, order: WeightOrder, patience: float) -> OrderEnd:
-        """Give an order and return what is known of it.
+    async def send_order(self, order: WeightOrder, timeout: float) -> OrderOutcome:
+        """Send an order and return its outcome.
 
-        :param patience: seconds after which nothing is known of it.
+        :param timeout: seconds to wait for an answer; then the outcome is unknown.
         """
         headers: Headers = (
             ("content-type", "application/json"),
             ("expect-instance", order.target),
         )
         try:
-            status, _, _ = await self._ask(
-                "POST", "/api/order", headers, encode_order(order), patience
+            status, _, _ = await self._request(
+                "POST", "/api/order", headers, encode_order(order), timeout
             )
         except LinkLost as error:
-            logger.warning("order without answer", extra={"reason": error.message})
-            return OrderEnd.UNKNOWN
-        return _ENDS.get(status, OrderEnd.UNKNOWN)
+            logger.warning("order not answered", extra={"reason": error.message})
+            return OrderOutcome.UNKNOWN
+        return _OUTCOMES.get(status, OrderOutcome.UNKNOWN)
 
-    async def _ask(
-        self, method: str, path: str, headers: Headers, body: bytes, time: float
+    async def _request(
+        self, method: str, path: str, headers: Headers, body: bytes, timeout: float
     ) -> tuple[int, bytes, Headers]:
         connection = self._connection
         self._connection = None
         try:
-            async with asyncio.timeout(time):
+            async with asyncio.timeout(timeout):
                 if connection is None or connection.closed:
                     connection = await ClientConnection.open(
-                        self._endpoint, timeout=time
+                        self._endpoint, timeout=timeout
                     )
                 answer = await connection.ask(method, path, headers, body)
                 content = await answer.read()
         except TimeoutError as error:
             raise LinkLost(
-                f"{self._endpoint} didn't answer in time", "check that it runs"
+                f"no answer from the engine at {self._endpoint} in time",
+                "check that the engine runs",
             ) from error
         finally:
             if connection is not None and not connection.idle:
--- a/src/ibishead/platform/programs.py
+++ b/src/ibishead/platform/programs.py
@@ -1,7 +1,8 @@
-"""The programs as the platform starts them, each with its settings file's path.
+"""Entry points of the programs that run on the platform.
 
-Each imports only what it runs: a start costs a host's processor by the module, and all
-programs of a fleet that is started anew start at once.
+Each program imports its modules when it starts and imports only those that it needs:
+the processor time of a start grows with the number of modules, and all programs of a
+restarted fleet start at the same time.
 """
 
 import asyncio
@@ -33,17 +34,21 @@
 
 logger = logging.getLogger(__name__)
 
-#: Names the settings file.
+#: Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "IBISHEAD_SETTINGS"
 
-#: Seconds between two looks at the settings file, which may change without a signal.
-RELOAD_INTERVAL = 1.0
+#: Seconds between two reads of the settings file, which may change without a signal.
+RELOAD_INTERVAL_SECONDS = 1.0
 
 
 async def run_gateway(
     settings: PlatformSettings, path: Path, metrics_port: int | None = None
 ) -> None:
-    """Serve callers until a planned stop."""
+    """Run a gateway until it is told to stop.
+
+    :param path: settings file, read again when it changes.
+    :param metrics_port: port of the metrics server, None for no metrics.
+    """
     from ibishead.gateway.server import Gateway
     from ibishead.platform.callers import PlatformCallers
     from ibishead.platform.targets import PlatformTargets
@@ -51,67 +56,77 @@
     gateway = Gateway(
         settings.gateway(), BootClock(), PlatformCallers(), PlatformTargets()
     )
-    page = MetricsServer(gateway.metrics, gateway.list_gauges)
-    async with _show_metrics(page, settings, metrics_port):
+    metrics_server = MetricsServer(gateway.metrics, gateway.list_gauges)
+    async with _serve_metrics(metrics_server, settings, metrics_port):
         await _run("gateway", gateway.start, gateway.stop, gateway.feed, path)
 
 
 async def run_steward(
     settings: PlatformSettings, path: Path, metrics_port: int | None = None
 ) -> None:
-    """Give orders to this host's engine until a planned stop."""
+    """Run a steward for the engine on this host until it is told to stop.
+
+    :param path: settings file, read again when it changes.
+    :param metrics_port: port of the metrics server, None for no metrics.
+    """
     from ibishead.platform.engines import PlatformEngine
     from ibishead.steward.server import StewardServer
 
-    own = settings.steward()
-    host, _, port = own.engine.rpartition(":")
+    steward_settings = settings.steward()
+    host, _, port = steward_settings.engine.rpartition(":")
     engine = PlatformEngine(Endpoint(host, int(port)))
-    server = StewardServer(own, BootClock(), engine)
-    page = MetricsServer(Metrics("steward"), server.list_gauges)
-    async with _show_metrics(page, settings, metrics_port):
+    server = StewardServer(steward_settings, BootClock(), engine)
+    metrics_server = MetricsServer(Metrics("steward"), server.list_gauges)
+    async with _serve_metrics(metrics_server, settings, metrics_port):
         await _run("steward", server.start, server.stop, server.feed, path)
 
 
 async def run_registry(
     settings: PlatformSettings, path: Path, metrics_port: int | None = None
 ) -> None:
-    """Take part in the registry until a planned stop, or until the disk fails.
+    """Run a registry until it is told to stop or its disk fails.
 
+    :param path: settings file, read again when it changes.
+    :param metrics_port: port of the metrics server, None for no metrics.
     :raises StorageFault: the data folder is damaged, or its disk has failed.
     """
-    from ibishead.platform.doors import make_door
+    from ibishead.platform.doors import make_http_handler
     from ibishead.registry.server import Registry
 
     failure: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def note_failure(fault: StorageFault) -> None:
+    def record_failure(fault: StorageFault) -> None:
         if not failure.done():
             failure.set_exception(fault)
 
-    registry = Registry(settings.registry(), BootClock(), make_door, note_failure)
-    page = MetricsServer(registry.metrics, registry.list_gauges)
-    async with _show_metrics(page, settings, metrics_port):
+    registry = Registry(
+        settings.registry(), BootClock(), make_http_handler, record_failure
+    )
+    metrics_server = MetricsServer(registry.metrics, registry.list_gauges)
+    async with _serve_metrics(metrics_server, settings, metrics_port):
         await _run(
             "registry", registry.start, registry.stop, registry.feed, path, failure
         )
 
 
 @contextlib.asynccontextmanager
-async def _show_metrics(
-    page: MetricsServer, settings: PlatformSettings, port: int | None
+async def _serve_metrics(
+    server: MetricsServer, settings: PlatformSettings, port: int | None
 ) -> AsyncIterator[None]:
     if port is None:
         yield
         return
     try:
-        await page.start(Endpoint(settings.ip, port))
+        await server.start(Endpoint(settings.ip, port))
     except OSError as error:
-        # callers are served without metrics too
-        logger.warning("no metrics", extra={"port": port, "reason": str(error)})
+        # metrics are optional: the program serves its clients without them
+        logger.warning(
+            "metrics server not started", extra={"port": port, "reason": str(error)}
+        )
     try:
         yield
     finally:
-        await page.stop()
+        await server.stop()
 
 
 async def _run(
@@ -125,16 +140,16 @@
     changed = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, changed.set)
-    ending = asyncio.create_task(wait_for_stop())
+    stop_requested = asyncio.create_task(wait_for_stop())
     await start()
     logger.info("started", extra={"program_name": program})
-    reloading = asyncio.create_task(_reload(feed, path, changed))
+    reload_task = asyncio.create_task(_reload(feed, path, changed))
     await asyncio.wait(
-        (ending, failure) if failure is not None else (ending,),
+        (stop_requested, failure) if failure is not None else (stop_requested,),
         return_when=asyncio.FIRST_COMPLETED,
     )
     logger.info("stops", extra={"program_name": program})
-    reloading.cancel()
+    reload_task.cancel()
     await stop()
     logger.info("stopped", extra={"program_name": program})
     if failure is not None and failure.done():
@@ -147,22 +162,25 @@
         try:
             found = load_platform_settings(path).registries()
         except SettingsFault as fault:
-            logger.warning("settings not read", extra={"reason": fault.message})
+            logger.warning(
+                "settings file not readable, the former settings remain in use",
+                extra={"reason": fault.message},
+            )
         else:
             if frozenset(found) != seeds:
-                logger.info("settings read", extra={"seeds": len(found)})
+                logger.info("registry seeds loaded", extra={"seeds": len(found)})
                 seeds = frozenset(found)
                 feed.reseed(found)
         changed.clear()
         try:
-            await asyncio.wait_for(changed.wait(), RELOAD_INTERVAL)
+            await asyncio.wait_for(changed.wait(), RELOAD_INTERVAL_SECONDS)
         except TimeoutError:
             continue
 
 
-_Run = Callable[[PlatformSettings, Path, int | None], Coroutine[Any, Any, None]]
+_RunProgram = Callable[[PlatformSettings, Path, int | None], Coroutine[Any, Any, None]]
 
-_PROGRAMS: dict[str, _Run] = {
+_PROGRAMS: dict[str, _RunProgram] = {
     "gateway": run_gateway,
     "registry": run_registry,
     "steward": run_steward,
@@ -171,8 +189,14 @@
 
 @click.command()
 @click.argument("program", type=click.Choice(sorted(_PROGRAMS)))
-@click.option("--check-settings", is_flag=True, help="Check the file and exit.")
-@click.option("--metrics-port", type=int, help="Port of the metrics; none without it.")
+@click.option(
+    "--check-settings", is_flag=True, help="Check the settings file and exit."
+)
+@click.option(
+    "--metrics-port",
+    type=int,
+    help="Port of the metrics server. Without it there are no metrics.",
+)
 def main(program: str, check_settings: bool, metrics_port: int | None) -> None:
     """Run one program of ibishead on the platform."""
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
--- a/src/ibishead/platform/settings.py
+++ b/src/ibishead/platform/settings.py
@@ -1,6 +1,6 @@
-"""Settings as the platform writes them, and the programs' own settings in them.
+"""Reads the platform's settings file and derives each program's settings from it.
 
-The platform fills `deploy/settings.json.template` with all its fields, as JSON.
+The platform renders `deploy/settings.json.template` with all of its fields, as JSON.
 """
 
 from pathlib import Path
@@ -18,34 +18,35 @@
 
 __all__ = ["PlatformSettings", "load_platform_settings"]
 
-#: Offsets in the ports for traffic between hosts.
-REGISTRY_PORT = 0
-STEWARD_PORT = 1
+#: Offsets of the link servers' ports in the port range for traffic between hosts.
+REGISTRY_PORT_OFFSET = 0
+STEWARD_PORT_OFFSET = 1
 
-#: Share of what may be sent again that is used; the rest is left to callers' own
-#: repetitions that look like ours, and to clocks that count other windows.
-RETRY_SHARE = 0.7
+#: Share of the retry budget that is used. The rest is left for callers' own retries,
+#: which look like those of gateways, and for clocks that count other time windows.
+USED_RETRY_SHARE = 0.7
 
-#: Descriptors of a gateway that callers' connections don't take: files, links, and
-#: connections to targets.
-SPARE_DESCRIPTORS = 1000
+#: File descriptors of a gateway that aren't available for connections of callers: they
+#: are for files, links and connections to targets.
+RESERVED_DESCRIPTORS = 1000
 
 
 class _Limits(msgspec.Struct):
     max_fds: int = 4096
 
 
-class _Tolerance(msgspec.Struct):
+class _FaultTolerance(msgspec.Struct):
     machines: int = 1
     zones: int = 0
     regions: int = 0
 
 
 class _Bounds(msgspec.Struct):
-    # seconds in which a host with a new disk counts again
+    # seconds within which a host with a new disk has to count as a replica again
     catch_up_s: float = 4
+    # seconds from the request to stop until the process is killed
     grace_s: float = 8
-    # second sends, as a share of the requests for a service, and beyond it
+    # retries as a share of the requests for a service, and retries in addition to it
     retry_budget: float = 0.2
     retry_slack: float = 20
 
@@ -57,52 +58,59 @@
 
 
 class PlatformSettings(msgspec.Struct):
-    """The fields that ibishead goes by; others are ignored."""
+    """The fields of the settings file that ibishead uses; others are ignored."""
 
     node_name: str
     ip: str
-    # a failure domain
+    # failure domain of this host
     zone: str
     seeds: list[str]
     port_range: list[int]
     listen: _Listen = msgspec.field(default_factory=_Listen)
-    # true only when the whole system starts for the first time
+    # true only at the first start of the whole system
     bootstrap: bool = False
     data_dir: str | None = None
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    fault_tolerance: _Tolerance = msgspec.field(default_factory=_Tolerance)
+    fault_tolerance: _FaultTolerance = msgspec.field(default_factory=_FaultTolerance)
     bounds: _Bounds = msgspec.field(default_factory=_Bounds)
-    # of the engine on this host
+    # address of the engine on this host
     app: str | None = None
-    # its service
+    # service that this engine belongs to
     backend: str | None = None
 
     def gateway(self) -> GatewaySettings:
-        """Return a gateway's settings."""
+        """Return the settings of a gateway.
+
+        :raises SettingsFault: an address or the port range is invalid.
+        """
         bounds = self.bounds
         return GatewaySettings(
             HostId(self.node_name),
             FailureDomain(self.zone),
-            _parse(self.listen.front, "listen.front"),
-            _parse(self.listen.readiness_addr, "listen.readiness_addr"),
+            _parse_endpoint(self.listen.front, "listen.front"),
+            _parse_endpoint(self.listen.readiness_addr, "listen.readiness_addr"),
             self.registries(),
             bounds.grace_s,
             BudgetShare(
-                RETRY_SHARE * bounds.retry_budget, RETRY_SHARE * bounds.retry_slack
+                USED_RETRY_SHARE * bounds.retry_budget,
+                USED_RETRY_SHARE * bounds.retry_slack,
             ),
-            max(100, self.limits.max_fds - SPARE_DESCRIPTORS),
+            max(100, self.limits.max_fds - RESERVED_DESCRIPTORS),
         )
 
     def registry(self) -> RegistrySettings:
-        """Return a registry's settings."""
+        """Return the settings of a registry.
+
+        :raises SettingsFault: an address or the port range is invalid.
+        """
         tolerance = self.fault_tolerance
         return RegistrySettings(
             HostId(self.node_name),
             FailureDomain(self.zone),
-            _parse(self.listen.control, "listen.control"),
-            Endpoint(self.ip, self._port(REGISTRY_PORT)),
-            tuple(_parse(seed, "seeds") for seed in self.seeds),
-            self._port(REGISTRY_PORT),
+            _parse_endpoint(self.listen.control, "listen.control"),
+            Endpoint(self.ip, self._port(REGISTRY_PORT_OFFSET)),
+            tuple(_parse_endpoint(seed, "seeds") for seed in self.seeds),
+            self._port(REGISTRY_PORT_OFFSET),
             Path(self.data_dir) if self.data_dir else None,
             self.bootstrap,
             max(tolerance.machines, 1 + tolerance.zones, 1 + tolerance.regions)
@@ -112,45 +120,61 @@
         )
 
     def steward(self) -> StewardSettings:
-        """Return a steward's settings."""
+        """Return the settings of a steward.
+
+        :raises SettingsFault: an address or the port range is invalid, or the engine or
+            its service is missing.
+        """
         if not self.app or not self.backend:
-            raise SettingsFault("no engine is named", "set app and backend")
+            raise SettingsFault(
+                "app or backend is missing",
+                "set app to the engine's address and backend to its service",
+            )
         return StewardSettings(
             HostId(self.node_name),
             FailureDomain(self.zone),
-            Endpoint(self.ip, self._port(STEWARD_PORT)),
+            Endpoint(self.ip, self._port(STEWARD_PORT_OFFSET)),
             self.registries(),
             self.app,
             ServiceName(self.backend),
         )
 
     def registries(self) -> tuple[Endpoint, ...]:
-        """Return the link endpoints of the first registries."""
-        port = self._port(REGISTRY_PORT)
-        return tuple(Endpoint(_parse(s, "seeds").address, port) for s in self.seeds)
+        """Return the link endpoints of the seed registries.
+
+        :raises SettingsFault: a seed or the port range is invalid.
+        """
+        port = self._port(REGISTRY_PORT_OFFSET)
+        return tuple(
+            Endpoint(_parse_endpoint(s, "seeds").address, port) for s in self.seeds
+        )
 
     def _port(self, offset: int) -> int:
         first, last = self.port_range[0], self.port_range[-1]
         if first + offset > last:
-            raise SettingsFault("port_range is too short", "give two ports or more")
+            raise SettingsFault(
+                "port_range has fewer than two ports", "set it to two or more ports"
+            )
         return first + offset
 
 
 def load_platform_settings(path: Path) -> PlatformSettings:
     """Return the settings in a file.
 
-    :raises SettingsFault: the file can't be read.
+    :raises SettingsFault: the file can't be read or decoded.
     """
     try:
         return msgspec.json.decode(path.read_bytes(), type=PlatformSettings)
     except (OSError, msgspec.MsgspecError) as error:
         raise SettingsFault(
-            f"{path} can't be read: {error}", "render the settings template anew"
+            f"{path} can't be read: {error}", "render the settings template again"
         ) from error
 
 
-def _parse(text: str | None, name: str) -> Endpoint:
+def _parse_endpoint(text: str | None, name: str) -> Endpoint:
     host, _, port = (text or "").rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise SettingsFault(f"{name} is no address: {text!r}", "set it to IP:PORT")
+        raise SettingsFault(
+            f"{name} is not a valid address: {text!r}", "set it to IP:PORT"
+        )
     return Endpoint(host, int(port))
--- a/src/ibishead/platform/targets.py
+++ b/src/ibishead/platform/targets.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's targets, and what their answers mean."""
+"""Headers of requests to the platform's targets, and of their answers."""
 
 import math
 
@@ -7,45 +7,45 @@
 
 __all__ = ["PlatformTargets"]
 
-#: Most urgent and least urgent rank on the wire.
-_RANKS = range(10)
+#: Range of the priority header, from most to least urgent.
+_PRIORITIES = range(10)
 
 
 class PlatformTargets:
-    """Makes headers of sends and reads heads of answers."""
+    """The targets' side of the platform's HTTP protocol."""
 
     def make_headers(self, call: Call, sending: Sending) -> Headers:
-        """Return the headers with which a call goes to a target."""
-        left = max(1, int(sending.remaining * 1000))
-        own = [
+        """Return the headers with which a call is sent to a target."""
+        remaining_ms = max(1, int(sending.remaining * 1000))
+        headers = [
             ("host", call.hostname),
             ("request-id", call.request),
-            ("deadline-ms", str(left)),
+            ("deadline-ms", str(remaining_ms)),
             ("expect-instance", sending.target),
         ]
         if call.model:
-            rank = min(max(sending.rank, _RANKS[0]), _RANKS[-1])
-            own.append(("request-priority", str(rank)))
+            priority = min(max(sending.rank, _PRIORITIES[0]), _PRIORITIES[-1])
+            headers.append(("request-priority", str(priority)))
         if sending.resume_after is not None:
-            own.append(("last-event-id", sending.resume_after))
-        return (*own, *call.headers)
+            headers.append(("last-event-id", sending.resume_after))
+        return (*headers, *call.headers)
 
     def read_head(self, call: Call, status: int, headers: Headers) -> TargetHead:
-        """Return what status and headers of an answer mean."""
-        echoed = find_header(headers, "request-id")
+        """Return the meaning of an answer's status and headers."""
+        echoed_id = find_header(headers, "request-id")
         stamped = find_header(headers, "response-stamp") is not None
-        # a target that is another one, or lacks the weights, runs nothing
+        # 421: another target listens here now, or it lacks the weights; it ran nothing
         misdirected = status == 421
         return TargetHead(
             status,
             drop_hop_by_hop(headers),
             not_run=misdirected or find_header(headers, "not-executed") is not None,
-            genuine=stamped and echoed == call.request,
+            genuine=stamped and echoed_id == call.request,
             misdirected=misdirected,
             encoded=find_header(headers, "content-encoding") is not None,
             load=_read_load(find_header(headers, "server-load")),
-            idle_time=_read_idle(find_header(headers, "keep-alive")),
-            rate_limit=_read_rate(find_header(headers, "server-limit")),
+            idle_time=_read_idle_timeout(find_header(headers, "keep-alive")),
+            rate_limit=_read_rate_limit(find_header(headers, "server-limit")),
         )
 
 
@@ -57,7 +57,7 @@
     return TargetLoadTold(running, waiting, slots)
 
 
-def _read_idle(text: str | None) -> float | None:
+def _read_idle_timeout(text: str | None) -> float | None:
     for part in (text or "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
@@ -65,7 +65,7 @@
     return None
 
 
-def _read_rate(text: str | None) -> float | None:
+def _read_rate_limit(text: str | None) -> float | None:
     try:
         rate = float(text or "")
     except ValueError:
--- a/src/ibishead/steward/__init__.py
+++ b/src/ibishead/steward/__init__.py
@@ -1,1 +1,1 @@
-"""The steward: beside each engine, the only program that gives it orders."""
+"""The steward: one runs beside each engine, and only it sends orders to that engine."""
--- a/src/ibishead/steward/demands.py
+++ b/src/ibishead/steward/demands.py
@@ -1,4 +1,4 @@
-"""Requests that wait at a steward for an adapter that isn't in place."""
+"""Requests that wait at a steward until their adapter is loaded."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -16,15 +16,15 @@
     version: int
     waiters: list[Waiter] = field(default_factory=list)
 
-    def wish(self, key: WeightKey, ready: float, read_rate: float) -> Wish:
-        # the prompt has to be read before the answer begins
-        waiters = [(w.due - w.tokens / read_rate, w.until) for w in self.waiters]
-        asked = max(due for due, _ in waiters)
-        return Wish(key, self.version, count_helped(waiters, ready), asked)
+    def summarize(self, key: WeightKey, ready_at: float, read_rate: float) -> Wish:
+        # the engine reads the prompt after the load and before the first token
+        waiters = [(w.due - w.tokens / read_rate, w.expires_at) for w in self.waiters]
+        latest_due = max(due for due, _ in waiters)
+        return Wish(key, self.version, count_helped(waiters, ready_at), latest_due)
 
 
 class AdapterDemands:
-    """Who waits for which adapter, and at what version."""
+    """Waiting requests by adapter, with the version that each adapter needs."""
 
     def __init__(self) -> None:
         self._demands: dict[WeightKey, _Demand] = {}
@@ -36,45 +36,51 @@
         return iter(self._demands)
 
     def add(self, waiter: Waiter, version: int) -> None:
-        """Let a request wait for its adapter.
+        """Add a request that waits for its adapter.
 
-        :param version: the least that the request may begin on.
+        :param version: oldest version of the adapter that the request may use.
         """
         demand = self._demands.setdefault(waiter.key, _Demand(version))
         demand.version = max(demand.version, version)
         demand.waiters.append(waiter)
 
-    def list_wishes(self, ready: float, read_rate: float) -> list[Wish]:
-        """Return what is waited for.
+    def list_demands(self, ready_at: float, read_rate: float) -> list[Wish]:
+        """Return one entry for each adapter that requests wait for.
 
-        :param ready: monotonic seconds at which a load ends that is ordered now.
-        :param read_rate: prompt tokens that the engine reads in a second.
+        :param ready_at: monotonic seconds at which a load ordered now would end.
+        :param read_rate: prompt tokens that the engine reads per second.
         """
         return [
-            demand.wish(key, ready, read_rate) for key, demand in self._demands.items()
+            demand.summarize(key, ready_at, read_rate)
+            for key, demand in self._demands.items()
         ]
 
-    def take_served(self, ledger: OrderLedger) -> list[Waiter]:
-        """Return who need not wait any more, as his adapter is in place."""
-        served = []
+    def pop_satisfied(self, ledger: OrderLedger) -> list[Waiter]:
+        """Remove and return the requests whose adapter is loaded now."""
+        satisfied = []
         for key, demand in list(self._demands.items()):
             if ledger.holds(key, demand.version):
                 del self._demands[key]
-                served.extend(demand.waiters)
-        return served
+                satisfied.extend(demand.waiters)
+        return satisfied
 
-    def refuse_late(self, now: float) -> None:
-        """Tell those whose time is over that they get no turn here."""
+    def refuse_expired(self, now: float) -> None:
+        """Refuse requests that have expired or whose gateway link is closed.
+
+        :param now: monotonic seconds.
+        """
         for key, demand in list(self._demands.items()):
-            late = [w for w in demand.waiters if w.until <= now or w.link.closed]
-            for waiter in late:
+            expired = [
+                w for w in demand.waiters if w.expires_at <= now or w.link.closed
+            ]
+            for waiter in expired:
                 waiter.answer(False)
                 demand.waiters.remove(waiter)
             if not demand.waiters:
                 del self._demands[key]
 
     def refuse_all(self) -> None:
-        """Tell all who wait that they get no turn here."""
+        """Refuse every waiting request."""
         for demand in self._demands.values():
             for waiter in demand.waiters:
                 waiter.answer(False)
--- a/src/ibishead/steward/engine.py
+++ b/src/ibishead/steward/engine.py
@@ -1,4 +1,7 @@
-"""What a steward asks of its engine, whatever protocol the engine speaks."""
+"""The interface between a steward and its engine, independent of the engine's protocol.
+
+An order asks the engine to load or to unload weights.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,44 +10,52 @@
 from ibishead.ids import HostId, ModelName, TargetId
 from ibishead.routing.targets import AdapterRef, Holding, WeightKey
 
-__all__ = ["Engine", "EngineState", "OrderEnd", "WeightOrder"]
+__all__ = ["Engine", "EngineState", "OrderOutcome", "WeightOrder"]
 
 
 @dataclass(frozen=True)
 class EngineState:
-    """An engine's report of itself.
-
-    :param born: start of its life in milliseconds since 1970, 0 where it isn't told.
-    :param sequence: orders that it has accepted in this life.
-    :param busy: an order for a model is under way.
-    :param leaving: it takes no new requests for long.
-    :param in_memory: models of which its memory has a copy, in place or not.
-    :param on_disk: models of which its disk has one.
+    """An engine's report of its own state.
+
+    :param born: start of the engine instance in milliseconds since 1970, 0 if unknown.
+    :param sequence: number of orders accepted since that start.
+    :param busy: an order for a model is in progress.
+    :param holdings: loaded models, each with its adapters.
+    :param loading: adapters that are being loaded.
+    :param running: requests that are running.
+    :param queued: requests that are queued in the engine.
+    :param cache_used: key-value cache in use that can't be evicted, in tokens.
+    :param cache_total: capacity of the key-value cache in tokens.
+    :param draining: the engine will soon accept no new requests.
+    :param in_memory: models with a copy in host memory, whether loaded or not.
+    :param on_disk: models with a copy on the local disk, whether loaded or not.
     """
 
     born: int
     sequence: int
     busy: bool
     holdings: tuple[Holding, ...]
-    coming: tuple[tuple[WeightKey, AdapterRef], ...] = ()
+    loading: tuple[tuple[WeightKey, AdapterRef], ...] = ()
     running: int = 0
     queued: int = 0
     cache_used: int = 0
     cache_total: int = 0
-    leaving: bool = False
+    draining: bool = False
     in_memory: frozenset[ModelName] = frozenset()
     on_disk: frozenset[ModelName] = frozenset()
 
 
 @dataclass(frozen=True)
 class WeightOrder:
-    """An order to load or to drop weights.
-
-    :param load: otherwise unload.
-    :param version: 0 for the newest.
-    :param sequence: the engine refuses the order when it has accepted another since.
-    :param fence: above that of every earlier holder.
-    :param target: the life of the engine that is meant.
+    """An order to load or to unload weights.
+
+    :param load: true to load, false to unload.
+    :param version: version to load, 0 for the newest.
+    :param sequence: number of orders that the engine must have accepted so far; it
+        refuses the order if it has accepted another one since.
+    :param holder: host to which the fencing number was issued.
+    :param fence: fencing number, higher than that of every earlier holder.
+    :param target: the engine instance that is meant; a restarted engine refuses it.
     """
 
     load: bool
@@ -56,35 +67,41 @@
     target: TargetId
 
 
-class OrderEnd(Enum):
-    """What is known of an order."""
+class OrderOutcome(Enum):
+    """What is known of an order after it was sent.
+
+    ``STARTED``: accepted and in progress. ``COMPLETED``: the engine is already in the
+    ordered state. ``UNKNOWN``: no usable answer came, and the engine may still carry
+    the order out. The other outcomes are refusals.
+    """
 
     STARTED = "started"
-    HOLDS = "holds"
+    COMPLETED = "holds"
     BUSY = "busy"
     FENCED = "fenced"
     IMPOSSIBLE = "impossible"
-    OTHER_LIFE = "other_life"
+    WRONG_INSTANCE = "other_life"
     UNKNOWN = "unknown"
 
 
 class Engine(Protocol):
-    """One model engine on this host."""
+    """Client of the model engine on this host."""
 
     async def read_state(self) -> EngineState:
         """Return the engine's report.
 
-        :raises LinkLost: it doesn't answer, or not in a way that can be read.
+        :raises LinkLost: the engine doesn't answer, or its answer can't be decoded.
         """
 
-    async def read_name(self, health_path: str) -> TargetId | None:
-        """Return the name of the engine's present life, none while it isn't healthy.
+    async def read_target_id(self, health_path: str) -> TargetId | None:
+        """Return the ID of the running engine instance, None if it isn't healthy.
 
-        :raises LinkLost: it doesn't answer.
+        :param health_path: path of the engine's health check.
+        :raises LinkLost: the engine doesn't answer.
         """
 
-    async def order(self, order: WeightOrder, patience: float) -> OrderEnd:
-        """Give an order and return what is known of it.
+    async def send_order(self, order: WeightOrder, timeout: float) -> OrderOutcome:
+        """Send an order and return its outcome.
 
-        :param patience: seconds after which nothing is known of it.
+        :param timeout: seconds to wait for an answer; then the outcome is unknown.
         """
--- a/src/ibishead/steward/naming.py
+++ b/src/ibishead/steward/naming.py
@@ -1,8 +1,9 @@
-"""Tells who an engine is, where nobody has heard of it yet.
+"""Registers an engine by its own target ID until the engine has announced itself.
 
-Targets announce themselves once a second or so. After a start of all hosts no order
-can name an engine's present life until then, and no gateway sends to it. What the
-engine says of itself counts as newer than this, whenever it comes.
+Targets announce themselves about once a second. After all hosts have started together,
+until that first announcement no order can name the engine's running instance and no
+gateway sends requests to it. An announcement of the engine itself always supersedes the
+steward's registration, whichever arrives first.
 """
 
 import logging
@@ -20,15 +21,20 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds until an engine that nobody has heard of is asked for its name again.
-NAME_WAIT = 0.3
+#: Seconds between two requests for the target ID of an unregistered engine.
+NAME_RETRY_SECONDS = 0.3
 
-#: Sequence of what a steward says for its engine: before all that the engine says.
-STATED = -1
+#: Sequence number of the steward's registration, lower than any of the engine's own.
+PROVISIONAL_SEQUENCE = -1
 
 
 class EngineNamer:
-    """Asks the engine at one address for its name, and tells the registries."""
+    """Reads the target ID of the engine at one address and sends it to the registries.
+
+    :param domain: failure domain of the engine's host.
+    :param service: service that the engine belongs to.
+    :param address: ``ADDRESS:PORT`` of the engine.
+    """
 
     def __init__(
         self,
@@ -45,54 +51,55 @@
         self._engine = engine
         self._feed = feed
         self._clock = clock
-        self._asked_at = -NAME_WAIT
+        self._asked_at = -NAME_RETRY_SECONDS
 
-    async def name(self, state: EngineState | None) -> None:
-        """Find the engine's name, if it is there and unknown.
+    async def register_if_unknown(self, state: EngineState | None) -> None:
+        """Register the engine if it is healthy and not registered yet.
 
-        :param state: its last report, none while it can't be reached.
+        :param state: the engine's last report, None while it can't be reached.
         """
         service, now = self._feed.find_service(self._service), self._clock.monotonic()
         if state is None or service is None or service.engine is None:
             return
-        if now - self._asked_at < NAME_WAIT or not self._is_unknown():
+        if now - self._asked_at < NAME_RETRY_SECONDS or not self._is_unknown():
             return
         if not _serves(state, service.engine):
             return
         self._asked_at = now
         try:
-            name = await self._engine.read_name(service.health_path)
+            target = await self._engine.read_target_id(service.health_path)
         except LinkLost as error:
-            logger.info("engine not named", extra={"reason": error.message})
+            logger.info("engine ID not available", extra={"reason": error.message})
             return
-        if name is not None and self._is_unknown():
-            self._state(name, state.born, service.engine.slots)
+        if target is not None and self._is_unknown():
+            self._register(target, state.born, service.engine.slots)
 
-    def _state(self, name: TargetId, born: int, slots: int) -> None:
-        statement = Registration(
-            name,
+    def _register(self, target: TargetId, born: int, slots: int) -> None:
+        registration = Registration(
+            target,
             self._service,
             self._address,
             self._domain,
             slots,
             TargetState.READY,
             born,
-            STATED,
+            PROVISIONAL_SEQUENCE,
         )
-        if self._feed.view.merge(statement, self._clock.monotonic()):
-            logger.info("engine named", extra={"target": name})
-            self._feed.tell(Statements((statement,)))
+        if self._feed.view.merge(registration, self._clock.monotonic()):
+            logger.info("engine registered by its steward", extra={"target": target})
+            self._feed.tell(Statements((registration,)))
 
     def _is_unknown(self) -> bool:
         return self._feed.view.find_address(self._address) is None
 
 
 def _serves(state: EngineState, spec: EngineSpec) -> bool:
-    """Return whether an engine takes requests, and is of the service.
+    """Return whether an engine accepts requests and belongs to the service.
 
-    Failure: an address is given to an engine of another service, and requests go there.
-    It holds none of this service's models, in place or at hand.
+    The address may have been given to an engine of another service, which must not get
+    this service's requests. Such an engine has none of this service's models, neither
+    loaded nor as a copy in memory or on disk.
     """
     held = {holding.model for holding in state.holdings}
     known = held | state.in_memory | state.on_disk
-    return not state.leaving and not known.isdisjoint(m.name for m in spec.models)
+    return not state.draining and not known.isdisjoint(m.name for m in spec.models)
--- a/src/ibishead/steward/server.py
+++ b/src/ibishead/steward/server.py
@@ -1,4 +1,4 @@
-"""One steward: its listener for gateways, and its feed."""
+"""The steward program: its link server for gateways and its registry feed."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class StewardServer:
-    """Runs one steward."""
+    """Connects one steward to its gateways and registries."""
 
     def __init__(self, settings: StewardSettings, clock: Clock, engine: Engine) -> None:
         self._settings = settings
@@ -31,8 +31,8 @@
             member,
             settings.registries,
             clock,
-            on_routes=lambda routes: self._steward.take_routes(routes),
-            on_message=self._take,
+            on_routes=lambda routes: self._steward.update_routes(routes),
+            on_message=self._handle_registry_message,
         )
         self._steward = Steward(
             settings.host,
@@ -52,13 +52,13 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen, and begin to give orders."""
+        """Accept links from gateways and start sending orders to the engine."""
         await self._links.start(self._settings.links)
         self.feed.start()
         self._task = asyncio.create_task(self._steward.run())
 
     def list_gauges(self) -> dict[str, float]:
-        """Return present values by name."""
+        """Return the current gauge values by name."""
         return {
             "registries_linked": len(self.feed.links),
             "routes_version": self.feed.version,
@@ -66,12 +66,12 @@
         }
 
     async def stop(self) -> None:
-        """Give no further order, and close all links."""
+        """Stop sending orders and close all links."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
         await self.feed.stop()
         await self._links.stop()
 
-    def _take(self, link: Link, message: Message) -> None:
-        self._steward.take_from_registry(link, message)
+    def _handle_registry_message(self, link: Link, message: Message) -> None:
+        self._steward.handle_registry_message(link, message)
--- a/src/ibishead/steward/settings.py
+++ b/src/ibishead/steward/settings.py
@@ -12,10 +12,10 @@
 class StewardSettings:
     """Settings of a steward.
 
-    :param links: where gateways link.
-    :param registries: link endpoints of the first registries.
+    :param links: endpoint on which the steward accepts links from gateways.
+    :param registries: link endpoints of the seed registries.
     :param engine: ``ADDRESS:PORT`` of the engine on this host.
-    :param service: that the engine belongs to.
+    :param service: service that the engine belongs to.
     """
 
     host: HostId
--- a/src/ibishead/steward/steward.py
+++ b/src/ibishead/steward/steward.py
@@ -1,4 +1,4 @@
-"""Holds an engine's adapter slots: hears wishes, gives orders, reports residents."""
+"""Sends load and unload orders to an engine and reports its state to the gateways."""
 
 import asyncio
 import contextlib
@@ -48,7 +48,7 @@
     list_adapters,
 )
 from ibishead.steward.demands import AdapterDemands
-from ibishead.steward.engine import Engine, EngineState, OrderEnd, WeightOrder
+from ibishead.steward.engine import Engine, EngineState, OrderOutcome, WeightOrder
 from ibishead.steward.ledger import OrderLedger
 from ibishead.steward.naming import EngineNamer
 from ibishead.steward.turns import TurnQueue, Waiter
@@ -58,30 +58,37 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between two reports read from the engine, while orders are under way and
-#: otherwise. A load takes a quarter of a second; requests wait for its end.
-BUSY_INTERVAL = 0.04
-CALM_INTERVAL = 0.25
+#: Seconds between two reads of the engine's report, while orders are in progress and
+#: otherwise. A load takes a quarter of a second, and requests wait for its end.
+BUSY_INTERVAL_SECONDS = 0.04
+IDLE_INTERVAL_SECONDS = 0.25
 
 #: Seconds between two reports to gateways when only the load has changed.
-REPORT_INTERVAL = 0.5
+REPORT_INTERVAL_SECONDS = 0.5
 
-#: Share of failures by which an engine differs from what gateways take it to be until
-#: they are told anew.
-FAILURE_STEP = 0.1
+#: Change of the engine's share of failed requests, against what gateways expect, from
+#: which they are sent a new value.
+FAILURE_SHARE_STEP = 0.1
 
-#: Seconds by which the wait for a model changes until gateways are told at once.
-MODEL_WAIT_STEP = 0.3
+#: Change of the wait for a model in seconds from which gateways are sent a report at
+#: once.
+MODEL_WAIT_STEP_SECONDS = 0.3
 
-#: Seconds until a fencing number is asked for again.
-FENCE_WAIT = 0.5
+#: Seconds until a fencing number is requested again.
+FENCE_RETRY_SECONDS = 0.5
 
 
 class Steward:
-    """Gives orders to the engine at one address.
+    """Sends orders to the engine at one address.
 
-    Orders go one after the other, each with the number of those accepted before, so
-    that one whose answer was lost is refused once another has been accepted.
+    Orders are sent one after the other. Each carries the number of orders accepted
+    before it, so that the engine refuses an order whose answer was lost once it has
+    accepted another one.
+
+    :param host: host on which the steward and the engine run.
+    :param domain: failure domain of that host.
+    :param service: service that the engine belongs to.
+    :param address: ``ADDRESS:PORT`` of the engine.
     """
 
     def __init__(
@@ -101,50 +108,50 @@
         self._feed = feed
         self._clock = clock
         self._links: set[Link] = set()
-        #: Requests a second that the engine's newest answer names.
-        self._limit: float | None = None
+        #: Requests per second, as named by the engine's latest answer.
+        self._rate_limit: float | None = None
         self._uses = AdapterUses()
-        self._turns = TurnQueue(clock, self._tell_delay, self._drop_waiter)
+        self._turns = TurnQueue(clock, self._publish_delay, self._release_waiter)
         self._demands = AdapterDemands()
         self._failures = FailureShare()
-        self._told_failures = FailureShare()
+        self._published_failures = FailureShare()
         self._ledger = OrderLedger()
         self._namer = EngineNamer(domain, service, address, engine, feed, clock)
-        self._patience = OrderPatience()
-        self._lost = False
-        self._fence = 0
-        self._fence_asked = 0.0
-        self._fence_number = 0
+        self._order_timeout = OrderPatience()
+        self._unreachable = False
+        self._fencing_number = 0
+        self._fence_requested_at = 0.0
+        self._fence_request = 0
         self._wake = asyncio.Event()
-        self._reported: EngineReport | None = None
-        self._reported_at = 0.0
-        self._pause_until = 0.0
-        self._place = xxhash.xxh32_intdigest(host.encode()) / 2**32
+        self._last_report: EngineReport | None = None
+        self._last_report_at = 0.0
+        self._paused_until = 0.0
+        self._spread_position = xxhash.xxh32_intdigest(host.encode()) / 2**32
 
     # Gateways ----------------------------------------------------------------
 
     async def serve_link(self, link: Link) -> None:
-        """Serve one gateway until its link is over."""
+        """Serve one gateway until its link is closed."""
         self._links.add(link)
-        self._uses.join(link)
-        if self._reported is not None:
-            link.send(self._reported)
-            if self._limit is not None:
-                link.send(RateTold(self._reported.target, self._limit))
+        self._uses.add_link(link)
+        if self._last_report is not None:
+            link.send(self._last_report)
+            if self._rate_limit is not None:
+                link.send(RateTold(self._last_report.target, self._rate_limit))
         try:
             async for message in link.receive():
-                self._take(link, message)
+                self._handle_gateway_message(link, message)
         finally:
             self._links.discard(link)
-            self._turns.leave(link)
-            self._uses.leave(link, self._clock.monotonic())
+            self._turns.remove_link(link)
+            self._uses.remove_link(link, self._clock.monotonic())
 
-    def take_from_registry(self, _: Link, message: Message) -> None:
-        """Take what a registry has sent to this program alone."""
+    def handle_registry_message(self, _: Link, message: Message) -> None:
+        """Handle a message that a registry has sent to this steward only."""
         match message:
-            case FenceAnswer(number, fence) if number == self._fence_number and fence:
-                self._fence = fence
-                logger.info("fencing number taken", extra={"fence": fence})
+            case FenceAnswer(number, fence) if number == self._fence_request and fence:
+                self._fencing_number = fence
+                logger.info("fencing number received", extra={"fence": fence})
                 self._wake.set()
             case FenceAnswer():
                 pass
@@ -154,47 +161,47 @@
                 )
 
     def list_gauges(self) -> dict[str, float]:
-        """Return present values by name."""
+        """Return the current gauge values by name."""
         return {
-            "fence": self._fence,
+            "fence": self._fencing_number,
             "gateways_linked": len(self._links),
             "adapters_wished": len(self._demands),
-            "adapters_coming": len(self._ledger.list_coming()),
+            "adapters_coming": len(self._ledger.list_loading()),
             "prompts_waiting": self._turns.count,
             "prompt_limit": self._turns.window.limit,
             "read_rate": self._turns.window.speed.rate,
-            "rate_limit": self._limit or 0.0,
+            "rate_limit": self._rate_limit or 0.0,
         }
 
-    def take_routes(self, routes: RouteSet) -> None:
-        """Take in the route set that is in force now."""
+    def update_routes(self, routes: RouteSet) -> None:
+        """Apply the route set that is in force now."""
         self._turns.window.gap = find_gap_objective(routes, self._service)
         spec = self._find_spec()
         self._turns.slots.slots = spec.slots if spec is not None else 0
         self._wake.set()
 
-    def _take(self, link: Link, message: Message) -> None:
+    def _handle_gateway_message(self, link: Link, message: Message) -> None:
         now = self._clock.monotonic()
         match message:
             case AskTurn(number, key, version, wait, tokens, due):
                 waiter = Waiter(link, number, key, now + wait, tokens, now + due)
-                self._want(waiter, version, now)
+                self._handle_turn_request(waiter, version, now)
             case BeginUse(key, tokens):
-                self._uses.note(key, now)
+                self._uses.record_request(key, now)
                 self._uses.begin(link, key)
-                self._turns.note_sent(link, tokens)
+                self._turns.record_sent(link, tokens)
             case RateTold(target, rate):
                 known = self._feed.view.find_address(self._address)
                 if known is not None and known.target == target:
-                    self._set_limit(rate)
+                    self._set_rate_limit(rate)
             case PromptRead(tokens, seconds):
-                self._turns.note_read(link, tokens, seconds)
+                self._turns.record_read(link, tokens, seconds)
             case EndUse(key, pause, failed):
                 if failed is not None:
-                    self._note_outcome(failed, now)
+                    self._record_request_outcome(failed, now)
                 if pause:
                     self._turns.window.note_pause(pause)
-                self._turns.note_end(link)
+                self._turns.record_end(link)
                 if self._uses.end(link, key, now) and self._demands:
                     self._wake.set()
             case _:
@@ -202,69 +209,78 @@
                     "unexpected message", extra={"kind": type(message).__name__}
                 )
 
-    def _want(self, waiter: Waiter, version: int, now: float) -> None:
+    def _handle_turn_request(self, waiter: Waiter, version: int, now: float) -> None:
         key = waiter.key
-        self._uses.note(key, now)
-        # Failure: an engine with a limit runs little and looks idle. Requests that wait
-        # there in vain have lost the time in which another engine could serve them.
-        if self._lost or not self._turns.fits(waiter, len(self._demands)):
+        self._uses.record_request(key, now)
+        # An engine with a rate limit runs few requests and therefore looks idle. A
+        # request that can't be sent in time is refused at once, while another engine
+        # still has the time to serve it.
+        if self._unreachable or not self._turns.can_send_in_time(
+            waiter, len(self._demands)
+        ):
             waiter.answer(False)
             return
         if self._ledger.holds(key, version):
-            self._queue(waiter)
+            self._enqueue(waiter)
             return
         self._demands.add(waiter, version)
         waiter.link.send(TurnNoted(waiter.number))
         self._wake.set()
 
-    def _queue(self, waiter: Waiter) -> None:
-        # in use from now on, so that the adapter doesn't leave while its request waits
+    def _enqueue(self, waiter: Waiter) -> None:
+        # the adapter counts as in use from now on, so that it isn't unloaded while the
+        # request waits for its turn
         self._uses.begin(waiter.link, waiter.key)
         self._turns.add(waiter)
 
-    def _drop_waiter(self, waiter: Waiter) -> None:
+    def _release_waiter(self, waiter: Waiter) -> None:
         self._uses.end(waiter.link, waiter.key, self._clock.monotonic())
 
-    def _tell_delay(self, seconds: float) -> None:
+    def _publish_delay(self, seconds: float) -> None:
         target = self._feed.view.find_address(self._address)
         if target is not None:
-            self._tell_gateways(PromptDelay(target.target, round(seconds, 3)))
+            self._send_to_gateways(PromptDelay(target.target, round(seconds, 3)))
 
-    def _note_outcome(self, failed: bool, now: float) -> None:
+    def _record_request_outcome(self, failed: bool, now: float) -> None:
         self._failures.note(failed, now)
         share = self._failures.read(now)
         target = self._feed.view.find_address(self._address)
-        if target is None or abs(share - self._told_failures.read(now)) < FAILURE_STEP:
+        if (
+            target is None
+            or abs(share - self._published_failures.read(now)) < FAILURE_SHARE_STEP
+        ):
             return
-        self._told_failures.set(share, now)
-        self._tell_gateways(FailuresTold(target.target, round(share, 3)))
+        self._published_failures.set(share, now)
+        self._send_to_gateways(FailuresTold(target.target, round(share, 3)))
         if failed:
             logger.info(
-                "engine fails",
+                "share of failed requests changed",
                 extra={"target": target.target, "share": round(share, 3)},
             )
 
-    def _set_limit(self, rate: float | None) -> None:
-        """Keep to what the engine's newest answer names, and tell all gateways.
+    def _set_rate_limit(self, rate: float | None) -> None:
+        """Apply the limit named by the engine's latest answer, and notify all gateways.
+
+        A gateway revokes the limit when it gets an answer that names none.
 
-        Each of them takes it back when it gets an answer that names none.
+        :param rate: requests per second, None for no limit.
         """
-        if rate != self._limit:
-            logger.info("limit of the engine", extra={"requests_a_second": rate})
-            self._limit = rate
-            self._turns.set_limit(rate)
+        if rate != self._rate_limit:
+            logger.info("engine rate limit changed", extra={"requests_a_second": rate})
+            self._rate_limit = rate
+            self._turns.set_rate_limit(rate)
             target = self._feed.view.find_address(self._address)
             if target is not None:
-                self._tell_gateways(RateTold(target.target, rate))
+                self._send_to_gateways(RateTold(target.target, rate))
 
-    def _tell_gateways(self, message: Message) -> None:
+    def _send_to_gateways(self, message: Message) -> None:
         for link in self._links:
             link.send(message)
 
     # Orders ------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Read reports, give orders and turns until cancelled."""
+        """Read reports, send orders and grant turns until cancelled."""
         turns = asyncio.create_task(self._turns.run())
         try:
             await self._run_orders()
@@ -276,105 +292,114 @@
         read_at = 0.0
         while True:
             now = self._clock.monotonic()
-            self._demands.refuse_late(now)
-            if self._ledger.doubtful or now - read_at >= self._interval():
-                await self._read()
+            self._demands.refuse_expired(now)
+            if self._ledger.report_needed or now - read_at >= self._read_interval():
+                await self._read_report()
                 read_at = self._clock.monotonic()
-            await self._namer.name(self._ledger.state)
-            if await self._order_next():
+            await self._namer.register_if_unknown(self._ledger.state)
+            if await self._send_next_order():
                 continue
             self._report(self._clock.monotonic())
-            wait = max(0.005, read_at + self._interval() - self._clock.monotonic())
+            wait = max(0.005, read_at + self._read_interval() - self._clock.monotonic())
             self._wake.clear()
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._wake.wait(), wait)
 
-    def _interval(self) -> float:
-        return BUSY_INTERVAL if self._ledger.under_way else CALM_INTERVAL
+    def _read_interval(self) -> float:
+        return (
+            BUSY_INTERVAL_SECONDS
+            if self._ledger.has_pending_orders
+            else IDLE_INTERVAL_SECONDS
+        )
 
-    async def _read(self) -> None:
+    async def _read_report(self) -> None:
         try:
-            state = await self._read_twice()
+            state = await self._read_state_with_retry()
         except LinkLost as error:
-            if not self._lost:
-                logger.warning("engine not reached", extra={"reason": error.message})
-            self._lose_engine()
+            if not self._unreachable:
+                logger.warning("engine unreachable", extra={"reason": error.message})
+            self._handle_engine_loss()
             return
-        self._lost = False
-        self._turns.note_report(state.running + state.queued)
-        if self._ledger.take(state, self._clock.monotonic()):
-            logger.info("engine found", extra={"born": state.born})
-            self._failures, self._told_failures = FailureShare(), FailureShare()
-            self._set_limit(None)
-        for waiter in self._demands.take_served(self._ledger):
-            self._queue(waiter)
-
-    async def _read_twice(self) -> EngineState:
+        self._unreachable = False
+        self._turns.record_report(state.running + state.queued)
+        if self._ledger.record_report(state, self._clock.monotonic()):
+            logger.info("engine reachable", extra={"born": state.born})
+            self._failures, self._published_failures = FailureShare(), FailureShare()
+            self._set_rate_limit(None)
+        for waiter in self._demands.pop_satisfied(self._ledger):
+            self._enqueue(waiter)
+
+    async def _read_state_with_retry(self) -> EngineState:
         try:
             return await self._engine.read_state()
         except LinkLost:
-            # a connection may be reset while its engine is well
+            # the connection may be reset although the engine is healthy
             return await self._engine.read_state()
 
-    def _lose_engine(self) -> None:
-        """Send everybody elsewhere, at once.
+    def _handle_engine_loss(self) -> None:
+        """Refuse all waiting requests at once, so that they are sent elsewhere.
 
-        Failure: an engine that is down has nothing to do, so it looks like the best
-        place, and requests wait there until another engine is too late as well.
+        An engine that is down has no load and looks like the best choice. Requests
+        that kept waiting for it would be too late for any other engine as well.
         """
-        self._lost = True
-        self._ledger.lose()
+        self._unreachable = True
+        self._ledger.record_unreachable()
         self._demands.refuse_all()
         self._turns.refuse_all()
-        if self._reported is not None and self._reported.holdings:
+        if self._last_report is not None and self._last_report.holdings:
             lost = msgspec.structs.replace(
-                self._reported, holdings=(), coming=(), model_wait=LOST_WAIT
+                self._last_report, holdings=(), coming=(), model_wait=LOST_WAIT
             )
-            self._tell(lost)
+            self._send_report(lost)
 
-    def _tell(self, report: EngineReport) -> None:
-        self._reported, self._reported_at = report, self._clock.monotonic()
-        self._tell_gateways(report)
+    def _send_report(self, report: EngineReport) -> None:
+        self._last_report, self._last_report_at = report, self._clock.monotonic()
+        self._send_to_gateways(report)
 
-    async def _order_next(self) -> bool:
-        """Give the next order that is due, and return whether one was given."""
+    async def _send_next_order(self) -> bool:
+        """Send the next order, if one is due.
+
+        :returns: whether the engine accepted an order.
+        """
         now = self._clock.monotonic()
-        if not self._fence:
-            self._ask_fence(now)
+        if not self._fencing_number:
+            self._request_fencing_number(now)
             return False
         order = self._choose_order(now)
         if order is None:
             return False
-        end = await self._engine.order(order, self._patience.seconds)
-        if end is OrderEnd.UNKNOWN:
-            self._patience.note_silence()
+        outcome = await self._engine.send_order(order, self._order_timeout.seconds)
+        if outcome is OrderOutcome.UNKNOWN:
+            self._order_timeout.note_silence()
         else:
-            self._patience.note_answer(self._clock.monotonic() - now)
-        self._note_end(order, end)
-        return end in (OrderEnd.STARTED, OrderEnd.HOLDS)
+            self._order_timeout.note_answer(self._clock.monotonic() - now)
+        self._record_order_outcome(order, outcome)
+        return outcome in (OrderOutcome.STARTED, OrderOutcome.COMPLETED)
 
     def _choose_order(self, now: float) -> WeightOrder | None:
         state, spec = self._ledger.state, self._find_spec()
-        if state is None or spec is None or state.busy or now < self._pause_until:
+        if state is None or spec is None or state.busy or now < self._paused_until:
             return None
         target = self._feed.view.find_address(self._address)
         if target is None or (state.born and target.born != state.born):
             return None
-        # Failure: an order's answer is lost, and the engine may still carry it out,
-        # seconds later. The same order again is harmless: whichever comes second
-        # expects a count of orders that has gone on. Another one in its place could
-        # make the two together exceed the slots.
-        if (again := self._ledger.unanswered) is not None:
+        # An order whose answer was lost may still be carried out seconds later. Sending
+        # the same order again is harmless: the engine refuses whichever arrives second,
+        # as its sequence is outdated then. A different order in its place could make
+        # the two together exceed the adapter slots.
+        if (again := self._ledger.unanswered_order) is not None:
             return self._make_order(again.load, again.key, again.version, target)
         choice = choose_order(
             spec,
-            self._ledger.weigh(self._uses.last, self._uses.list_running(now)),
-            self._list_wishes(now),
+            self._ledger.make_engine_weights(
+                self._uses.last_used, self._uses.list_in_use(now)
+            ),
+            self._list_demands(now),
             self._feed.floors,
             self._feed.floor_heard,
             self._uses.reuse,
             now,
-            self._place,
+            self._spread_position,
             self._ledger.pace,
         )
         match choice:
@@ -385,10 +410,10 @@
             case Unload(key):
                 return self._make_order(False, key, 0, target)
 
-    def _list_wishes(self, now: float) -> list[Wish]:
-        ready = now + self._ledger.pace.read(now)
+    def _list_demands(self, now: float) -> list[Wish]:
+        ready_at = now + self._ledger.pace.read(now)
         rate = self._turns.window.speed.rate
-        return self._demands.list_wishes(ready, rate)
+        return self._demands.list_demands(ready_at, rate)
 
     def _make_order(
         self, load: bool, key: WeightKey, version: int, target: Registration
@@ -399,11 +424,11 @@
             version,
             self._ledger.sequence,
             self._host,
-            self._fence,
+            self._fencing_number,
             target.target,
         )
 
-    def _note_end(self, order: WeightOrder, end: OrderEnd) -> None:
+    def _record_order_outcome(self, order: WeightOrder, outcome: OrderOutcome) -> None:
         now = self._clock.monotonic()
         logger.info(
             "order given",
@@ -415,29 +440,33 @@
                 "sequence": order.sequence,
                 "fence": order.fence,
                 "target": order.target,
-                "outcome": end.value,
+                "outcome": outcome.value,
             },
         )
-        self._ledger.note_end(order, end, now)
-        match end:
-            case OrderEnd.FENCED:
-                self._fence = 0
-            case OrderEnd.BUSY | OrderEnd.IMPOSSIBLE | OrderEnd.OTHER_LIFE:
-                self._pause_until = now + BUSY_INTERVAL
-
-    def _ask_fence(self, now: float) -> None:
-        if now - self._fence_asked < FENCE_WAIT:
+        self._ledger.record_outcome(order, outcome, now)
+        match outcome:
+            case OrderOutcome.FENCED:
+                self._fencing_number = 0
+            case (
+                OrderOutcome.BUSY
+                | OrderOutcome.IMPOSSIBLE
+                | OrderOutcome.WRONG_INSTANCE
+            ):
+                self._paused_until = now + BUSY_INTERVAL_SECONDS
+
+    def _request_fencing_number(self, now: float) -> None:
+        if now - self._fence_requested_at < FENCE_RETRY_SECONDS:
             return
         links = [link for _, link in self._feed.list_log_keepers()]
         if not links:
-            # who keeps the log isn't known before the first answer of a registry
+            # which registries keep the log is unknown until the first of them answers
             links = [link for link in self._feed.links.values() if not link.closed]
         if not links:
             return
-        self._fence_asked = now
-        self._fence_number += 1
-        # another registry each time: one may be cut off from the quorum
-        links[self._fence_number % len(links)].send(AskFence(self._fence_number))
+        self._fence_requested_at = now
+        self._fence_request += 1
+        # each request goes to another registry, as one may be cut off from the quorum
+        links[self._fence_request % len(links)].send(AskFence(self._fence_request))
 
     def _find_spec(self) -> EngineSpec | None:
         found = self._feed.find_service(self._service)
@@ -445,49 +474,53 @@
 
     # Reports -----------------------------------------------------------------
 
-    def _count_free(self, holdings: tuple[Holding, ...], coming: int) -> int:
+    def _count_free_slots(self, holdings: tuple[Holding, ...], loading: int) -> int:
         spec = self._find_spec()
         if spec is None:
             return 0
-        running = self._uses.list_running(self._clock.monotonic())
+        running = self._uses.list_in_use(self._clock.monotonic())
         used = len(running & list_adapters(holdings).keys())
-        leaving = self._ledger.count_leaving()
-        return max(0, spec.adapter_slots - used - coming - leaving)
+        unloading = self._ledger.count_unloading()
+        return max(0, spec.adapter_slots - used - loading - unloading)
 
-    def _expect_model(self, holdings: tuple[Holding, ...], now: float) -> float:
+    def _expect_model_wait(self, holdings: tuple[Holding, ...], now: float) -> float:
         state = self._ledger.state
         if holdings or state is None:
             return 0.0
         source = find_source(self._find_spec(), state.in_memory, state.on_disk)
-        wait = expect_model(self._find_spec(), source, self._ledger.model_since, now)
+        wait = expect_model(
+            self._find_spec(), source, self._ledger.model_load_ordered_at, now
+        )
         return round(wait, 2)
 
     def _report(self, now: float) -> None:
         state, target = self._ledger.state, self._feed.view.find_address(self._address)
         if state is None or target is None:
             return
-        coming, holdings = self._ledger.list_coming(), self._ledger.list_holdings()
+        loading, holdings = self._ledger.list_loading(), self._ledger.list_holdings()
         report = EngineReport(
             target.target,
             state.born or target.born,
             holdings,
-            tuple(coming.items()),
+            tuple(loading.items()),
             state.running,
             state.queued,
             state.cache_used,
             state.cache_total,
-            self._count_free(holdings, len(coming)),
-            tuple(key for key in self._demands if key not in coming),
+            self._count_free_slots(holdings, len(loading)),
+            tuple(key for key in self._demands if key not in loading),
             round(self._turns.window.speed.rate, -2),
-            self._expect_model(holdings, now),
+            self._expect_model_wait(holdings, now),
         )
-        before = self._reported
+        before = self._last_report
         same = before is not None and (
             (before.target, before.born, before.holdings)
             == (report.target, report.born, report.holdings)
             and (before.coming, before.wished) == (report.coming, report.wished)
-            and abs(before.model_wait - report.model_wait) < MODEL_WAIT_STEP
+            and abs(before.model_wait - report.model_wait) < MODEL_WAIT_STEP_SECONDS
         )
-        if report == before or (same and now - self._reported_at < REPORT_INTERVAL):
+        if report == before or (
+            same and now - self._last_report_at < REPORT_INTERVAL_SECONDS
+        ):
             return
-        self._tell(report)
+        self._send_report(report)
--- a/src/ibishead/steward/turns.py
+++ b/src/ibishead/steward/turns.py
@@ -1,4 +1,7 @@
-"""Requests that wait at a steward for their turn at its engine."""
+"""Requests that wait at a steward until they may be sent to its engine.
+
+A turn is the permission to send one request to the engine.
+"""
 
 import asyncio
 import contextlib
@@ -19,23 +22,24 @@
 
 logger = logging.getLogger(__name__)
 
-#: Ratio of two read rates between which a change isn't worth a line in the log.
-LOGGED_RATIO = 1.25
+#: Factor by which the read rate has to change, up or down, to be logged again.
+LOGGED_RATE_RATIO = 1.25
 
-#: Seconds by which the delay of a new prompt differs from what gateways take it to be
-#: until they are told anew.
-DELAY_STEP = 0.05
+#: Seconds by which the delay of a new prompt has to differ from what gateways expect
+#: before they are sent a new value.
+DELAY_STEP_SECONDS = 0.05
 
-#: Seconds without a request that an engine with a limit may make up for.
-SAVED_TIME = 1.0
+#: Seconds without a request whose unused share of the engine's rate limit may be used
+#: afterwards in a burst.
+BURST_SECONDS = 1.0
 
 
 @dataclass(frozen=True, eq=False)
 class Waiter:
-    """A request that waits for an adapter, and then for its turn.
+    """A request that waits for its adapter and then for its turn.
 
-    :param number: the gateway's name for it.
-    :param until: monotonic seconds after which it is of no use.
+    :param number: number by which the gateway identifies the request.
+    :param expires_at: monotonic seconds after which the request is refused.
     :param tokens: length of its prompt.
     :param due: monotonic seconds at which its answer should begin.
     """
@@ -43,178 +47,196 @@
     link: Link
     number: int
     key: WeightKey
-    until: float
+    expires_at: float
     tokens: int
     due: float
 
-    def answer(self, given: bool) -> None:
-        """Tell the gateway whether the request may be sent."""
-        self.link.send(TurnAnswer(self.number, given))
+    def answer(self, granted: bool) -> None:
+        """Tell the gateway whether it may send the request."""
+        self.link.send(TurnAnswer(self.number, granted))
 
 
 class TurnQueue:
-    """Gives turns as the engine's batch and its window let requests through.
-
-    :param tell: tells gateways how many seconds a prompt that comes now would wait.
-    :param drop: called with each request that got no turn in time.
+    """Grants turns within the engine's batch slots, prompt window and rate limit.
+
+    :param on_delay: called with the seconds that a new prompt would wait, when these
+        have changed; sends them to the gateways.
+    :param on_refused: called with each request that was refused a turn.
+    :ivar window: limits the prompt tokens sent to the engine over time.
+    :ivar slots: limits the requests in the engine's batch.
+    :ivar rate: applies the engine's rate limit.
     """
 
     def __init__(
         self,
         clock: Clock,
-        tell: Callable[[float], None],
-        drop: Callable[[Waiter], None],
+        on_delay: Callable[[float], None],
+        on_refused: Callable[[Waiter], None],
     ) -> None:
         self.window = PromptWindow()
         self.slots = BatchSlots()
-        self.rate = SendRate(SAVED_TIME)
+        self.rate = SendRate(BURST_SECONDS)
         self._clock = clock
-        self._tell = tell
-        self._drop = drop
+        self._on_delay = on_delay
+        self._on_refused = on_refused
         self._waiting: dict[Turn, Waiter] = {}
         self._count = 0
         self._wake = asyncio.Event()
-        self._told = 0.0
-        self._told_at = 0.0
+        self._published_delay = 0.0
+        self._published_at = 0.0
         self._logged_rate = self.window.speed.rate
         self._unread: Counter[Link] = Counter()
         self._running: Counter[Link] = Counter()
-        self._alone = False
+        self._single_prompt = False
 
     @property
     def count(self) -> int:
-        """How many requests wait for their turn."""
+        """Number of requests that wait for a turn."""
         return len(self._waiting)
 
     def add(self, waiter: Waiter) -> None:
-        """Take in a request whose adapter is in place."""
+        """Add a request whose adapter is loaded, and grant turns that are due."""
         self._count += 1
         turn = Turn(self._count, waiter.tokens, waiter.due)
         self._waiting[turn] = waiter
-        self._give()
+        self._grant_due()
         if turn in self._waiting:
             waiter.link.send(TurnNoted(waiter.number))
             self._wake.set()
 
-    def fits(self, waiter: Waiter, before: int) -> bool:
-        """Return whether the engine's limit lets a request through in time.
+    def can_send_in_time(self, waiter: Waiter, before: int) -> bool:
+        """Return whether the rate limit lets a request be sent before it expires.
 
-        :param before: requests that will join the queue before it.
+        :param before: requests that will be added to the queue before it.
         """
         now = self._clock.monotonic()
         wait = self.rate.delay(len(self._waiting) + before, now)
-        return now + wait <= waiter.until
+        return now + wait <= waiter.expires_at
 
-    def note_sent(self, link: Link, tokens: int) -> None:
-        """Count a prompt that is sent now, with or without a turn."""
+    def record_sent(self, link: Link, tokens: int) -> None:
+        """Count a prompt that is sent now, with or without a turn.
+
+        :param tokens: length of the prompt.
+        """
         self.window.take(tokens, self._clock.monotonic())
-        self._alone = not self._unread.total()
+        self._single_prompt = not self._unread.total()
         self._unread[link] += 1
         self._running[link] += 1
         self.slots.begin()
         self.rate.take(self._clock.monotonic())
 
-    def note_read(self, link: Link, tokens: int, seconds: float) -> None:
-        """Take in that the engine has read a prompt, or that its request has ended.
+    def record_read(self, link: Link, tokens: int, seconds: float) -> None:
+        """Record that the engine has read a prompt or that its request has ended.
 
-        How fast it reads shows where it had one prompt to read and no other.
+        The read rate is measured only while the engine had a single prompt to read.
 
-        :param seconds: from the send to the first event, 0 where none came.
+        :param tokens: length of the prompt.
+        :param seconds: from the send to the first event, 0 if there was none.
         """
         if not self._unread[link]:
-            # sent over an earlier link
+            # the prompt was sent over an earlier link of this gateway
             return
         self._unread[link] -= 1
-        if seconds and self._alone and not self._unread.total():
+        if seconds and self._single_prompt and not self._unread.total():
             self.window.speed.note(tokens, seconds)
-            self._log_rate()
+            self._log_read_rate()
 
-    def note_end(self, link: Link) -> None:
-        """Count a request of a gateway as over."""
+    def record_end(self, link: Link) -> None:
+        """Count a request of a gateway as ended."""
         if not self._running[link]:
-            # sent over an earlier link
+            # the request was sent over an earlier link of this gateway
             return
         self._running[link] -= 1
         self.slots.end(1, self._clock.monotonic())
-        self._wake_waiting()
+        self._wake_if_waiting()
 
-    def note_report(self, requests: int) -> None:
-        """Take in how many requests the engine has."""
+    def record_report(self, requests: int) -> None:
+        """Record how many requests the engine reports, running or queued."""
         self.slots.note_report(requests)
-        self._wake_waiting()
+        self._wake_if_waiting()
 
-    def set_limit(self, rate: float | None) -> None:
-        """Give no more turns than this many a second, none for no bound."""
+    def set_rate_limit(self, rate: float | None) -> None:
+        """Set the rate limit.
+
+        :param rate: requests per second, None for no limit.
+        """
         self.rate.limit(rate, self._clock.monotonic())
-        self._wake_waiting()
+        self._wake_if_waiting()
 
-    def _wake_waiting(self) -> None:
+    def _wake_if_waiting(self) -> None:
         if self._waiting and not self.slots.full:
             self._wake.set()
 
-    def leave(self, link: Link) -> None:
-        """Forget the requests of a gateway whose link is over."""
+    def remove_link(self, link: Link) -> None:
+        """Drop the requests of a gateway whose link is closed."""
         self.slots.end(self._running.pop(link, 0), self._clock.monotonic())
         self._waiting = {t: w for t, w in self._waiting.items() if w.link is not link}
-        # what the gateway sent may still be read, for a moment
+        # the engine may still be reading prompts of this gateway for a moment, so the
+        # next measurement of the read rate isn't of a single prompt
         if self._unread.pop(link, 0):
-            self._alone = False
+            self._single_prompt = False
 
     def refuse_all(self) -> None:
-        """Tell all who wait that they get no turn here."""
+        """Refuse every waiting request."""
         for waiter in self._waiting.values():
             waiter.answer(False)
-            self._drop(waiter)
+            self._on_refused(waiter)
         self._waiting.clear()
 
     async def run(self) -> None:
-        """Give turns until cancelled."""
+        """Grant turns until cancelled."""
         while True:
-            wait = self._give()
+            wait = self._grant_due()
             self._wake.clear()
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._wake.wait(), wait)
 
-    def _log_rate(self) -> None:
+    def _log_read_rate(self) -> None:
         rate = self.window.speed.rate
-        if not 1 / LOGGED_RATIO < rate / self._logged_rate < LOGGED_RATIO:
+        if not 1 / LOGGED_RATE_RATIO < rate / self._logged_rate < LOGGED_RATE_RATIO:
             self._logged_rate = rate
-            logger.info("read rate learned", extra={"tokens_a_second": round(rate)})
+            logger.info(
+                "prompt read rate changed", extra={"tokens_a_second": round(rate)}
+            )
 
-    def _give(self) -> float | None:
-        """Give all turns that are due, and return the seconds until the next one."""
+    def _grant_due(self) -> float | None:
+        """Grant all turns that are due.
+
+        :returns: seconds until the next turn or expiry, None if no request waits.
+        """
         now = self._clock.monotonic()
-        self._drop_late(now)
+        self._refuse_expired(now)
         wait = None
         while (turn := choose_turn(self._waiting, now)) is not None:
             wait = max(self.window.wait(turn.tokens, now), self.rate.wait(now))
             if wait > 0 or self.slots.full:
                 break
             waiter = self._waiting.pop(turn)
-            self.note_sent(waiter.link, waiter.tokens)
+            self.record_sent(waiter.link, waiter.tokens)
             waiter.answer(True)
-        self._publish(now)
+        self._publish_delay(now)
         if not self._waiting:
             return None
-        ends = min(waiter.until for waiter in self._waiting.values()) - now
+        expiry = min(waiter.expires_at for waiter in self._waiting.values()) - now
         if self.slots.full:
-            # the end of a request wakes those who wait
-            return max(0.001, ends)
-        return max(0.001, min(ends, wait or 0.0))
+            # the end of a running request sets the wake event
+            return max(0.001, expiry)
+        return max(0.001, min(expiry, wait or 0.0))
 
-    def _drop_late(self, now: float) -> None:
-        late = [turn for turn, waiter in self._waiting.items() if waiter.until <= now]
-        for turn in late:
+    def _refuse_expired(self, now: float) -> None:
+        expired = [t for t, waiter in self._waiting.items() if waiter.expires_at <= now]
+        for turn in expired:
             waiter = self._waiting.pop(turn)
             waiter.answer(False)
-            self._drop(waiter)
+            self._on_refused(waiter)
 
-    def _publish(self, now: float) -> None:
+    def _publish_delay(self, now: float) -> None:
         queued = sum(turn.tokens for turn in self._waiting)
         delay = self.window.delay(queued, now)
         waiting = len(self._waiting)
         delay = max(delay, self.slots.delay(waiting), self.rate.delay(waiting, now))
-        believed = max(0.0, self._told - (now - self._told_at))
-        if abs(delay - believed) >= DELAY_STEP:
-            self._told, self._told_at = delay, now
-            self._tell(delay)
+        # gateways count a published delay down as time passes
+        expected = max(0.0, self._published_delay - (now - self._published_at))
+        if abs(delay - expected) >= DELAY_STEP_SECONDS:
+            self._published_delay, self._published_at = delay, now
+            self._on_delay(delay)
--- a/src/ibishead/steward/uses.py
+++ b/src/ibishead/steward/uses.py
@@ -1,4 +1,4 @@
-"""Which of an engine's adapters requests use, as the gateways tell."""
+"""Tracks which of an engine's adapters are in use, as reported by the gateways."""
 
 from collections import Counter
 
@@ -9,46 +9,56 @@
 
 __all__ = ["AdapterUses"]
 
-#: Seconds for which adapters count as in use whose gateway is no longer linked. Its
-#: requests may still run: it may have lost no more than this link. What runs on after
-#: that time only delays the order that drops the adapter.
-LOST_KEPT = 3.0
+#: Seconds for which the adapters of a gateway count as in use after its link is lost.
+#: The gateway may have lost only this link, with its requests still running. A request
+#: that runs longer merely delays the order that unloads its adapter.
+LOST_LINK_USE_SECONDS = 3.0
 
 
 class AdapterUses:
-    """Counts uses under way, and remembers earlier ones.
+    """Counts requests in progress by gateway and adapter, and records past uses.
 
-    :ivar last: when each adapter was last used, monotonic seconds.
+    :ivar last_used: when each adapter was last used, monotonic seconds.
     :ivar reuse: how often adapters have been used, by their digests.
     """
 
     def __init__(self) -> None:
-        self.last: dict[WeightKey, float] = {}
+        self.last_used: dict[WeightKey, float] = {}
         self.reuse = ReuseCounter()
         self._running: dict[Link, Counter[WeightKey]] = {}
-        self._lost: dict[WeightKey, float] = {}
+        self._lost_until: dict[WeightKey, float] = {}
 
-    def join(self, link: Link) -> None:
-        """Begin to count the uses of a gateway."""
+    def add_link(self, link: Link) -> None:
+        """Start counting the uses of a gateway."""
         self._running[link] = Counter()
 
-    def leave(self, link: Link, now: float) -> None:
-        """Take in that a gateway's link is over."""
+    def remove_link(self, link: Link, now: float) -> None:
+        """Stop counting the uses of a gateway whose link is closed.
+
+        :param now: monotonic seconds.
+        """
         for key in self._running.pop(link, ()):
-            self._lost[key] = now + LOST_KEPT
+            self._lost_until[key] = now + LOST_LINK_USE_SECONDS
+
+    def record_request(self, key: WeightKey, now: float) -> None:
+        """Record that a request asked for an adapter.
 
-    def note(self, key: WeightKey, now: float) -> None:
-        """Count that an adapter was asked for."""
-        self.last[key] = now
+        :param now: monotonic seconds.
+        """
+        self.last_used[key] = now
         self.reuse.observe_use(digest(key), now)
 
     def begin(self, link: Link, key: WeightKey) -> None:
-        """Count a use as under way."""
+        """Count a use as in progress."""
         if link in self._running:
             self._running[link][key] += 1
 
     def end(self, link: Link, key: WeightKey, now: float) -> bool:
-        """Count a use as over, and return whether it was the gateway's last one."""
+        """Count a use as ended.
+
+        :param now: monotonic seconds.
+        :returns: whether the gateway has no other use of the adapter in progress.
+        """
         running = self._running.get(link)
         if running is None or not running[key]:
             return False
@@ -56,10 +66,13 @@
         if running[key]:
             return False
         del running[key]
-        self.last[key] = now
+        self.last_used[key] = now
         return True
 
-    def list_running(self, now: float) -> frozenset[WeightKey]:
-        """Return the adapters that requests use now."""
-        lost = {key for key, until in self._lost.items() if until > now}
+    def list_in_use(self, now: float) -> frozenset[WeightKey]:
+        """Return the adapters in use by running requests.
+
+        :param now: monotonic seconds.
+        """
+        lost = {key for key, until in self._lost_until.items() if until > now}
         return frozenset(lost.union(*self._running.values()))
--- a/tests/onplatform/test_bodies.py
+++ b/tests/onplatform/test_bodies.py
@@ -9,7 +9,7 @@
 
 from ibishead.errors import InvalidInput
 from ibishead.platform.bodies import (
-    decode_farewell,
+    decode_deregistration,
     decode_heartbeat,
     decode_report,
     decode_routes,
@@ -115,7 +115,7 @@
 
 @given(st.binary(max_size=200))
 def test_bytes_that_are_nothing_are_refused(data):
-    for decode in (decode_routes, decode_report, decode_version, decode_farewell):
+    for decode in (decode_routes, decode_report, decode_version, decode_deregistration):
         try:
             decode(data)
         except InvalidInput:
--- a/tests/steward/test_steward.py
+++ b/tests/steward/test_steward.py
@@ -41,7 +41,7 @@
     TargetView,
     WeightKey,
 )
-from ibishead.steward.engine import EngineState, OrderEnd, WeightOrder
+from ibishead.steward.engine import EngineState, OrderOutcome, WeightOrder
 from ibishead.steward.steward import Steward
 
 MODEL, SLOTS = ModelName("m"), 3
@@ -67,27 +67,27 @@
         refs = tuple(AdapterRef(n, v) for n, v in self.adapters.items())
         return EngineState(self.born, self.count, False, (Holding(MODEL, 1, refs),))
 
-    async def read_name(self, health_path: str) -> TargetId | None:
+    async def read_target_id(self, health_path: str) -> TargetId | None:
         return TargetId("t9")
 
-    async def order(self, order: WeightOrder, patience: float) -> OrderEnd:
+    async def send_order(self, order: WeightOrder, timeout: float) -> OrderOutcome:
         self.orders.append(order)
         if self._random.random() < self._late:
             asyncio.get_running_loop().call_later(0.3, self._carry_out, order)
-            return OrderEnd.UNKNOWN
+            return OrderOutcome.UNKNOWN
         end = self._carry_out(order)
-        return OrderEnd.UNKNOWN if self._random.random() < self._lose else end
+        return OrderOutcome.UNKNOWN if self._random.random() < self._lose else end
 
-    def _carry_out(self, order: WeightOrder) -> OrderEnd:
+    def _carry_out(self, order: WeightOrder) -> OrderOutcome:
         if order.sequence != self.count:
-            return OrderEnd.BUSY
+            return OrderOutcome.BUSY
         self.count += 1
         if not order.load:
             self.adapters.pop(order.key.adapter, None)
-            return OrderEnd.HOLDS
+            return OrderOutcome.COMPLETED
         self.adapters[order.key.adapter] = max(1, order.version)
         self.most = max(self.most, len(self.adapters))
-        return OrderEnd.STARTED
+        return OrderOutcome.STARTED
 
 
 class PeerLink(FakeLink):
@@ -104,7 +104,7 @@
         return None
 
 
-class Setting:
+class StewardHarness:
     """A steward with its feed, and one gateway linked to it."""
 
     def __init__(self, engine) -> None:
@@ -141,7 +141,7 @@
             SystemClock(),
         )
 
-    async def __aenter__(self) -> "Setting":
+    async def __aenter__(self) -> "StewardHarness":
         self._tasks = [
             asyncio.create_task(self.steward.run()),
             asyncio.create_task(self.steward.serve_link(self.gateway)),
@@ -161,7 +161,7 @@
                 if isinstance(message, AskFence):
                     fence += 1
                     answer = FenceAnswer(message.number, fence)
-                    self.steward.take_from_registry(self.registry, answer)
+                    self.steward.handle_registry_message(self.registry, answer)
             self.registry.sent.clear()
             await asyncio.sleep(0.01)
 
@@ -178,7 +178,7 @@
         self.feed.links[Endpoint(member.address, member.port)] = link
         return link
 
-    async def want(self, number: int, adapter: str, wait: float = 5.0) -> bool:
+    async def request_turn(self, number: int, adapter: str, wait: float = 5.0) -> bool:
         key = WeightKey(MODEL, adapter)
         self.gateway.inbox.put_nowait(AskTurn(number, key, 0, wait))
         async with asyncio.timeout(wait + 1):
@@ -196,45 +196,45 @@
 async def test_adapters_come_and_slots_hold_whatever_is_lost(lose, late, seed):
     """An engine ends itself, ordered beyond its slots."""
     engine = FakeEngine(lose, late, seed)
-    async with Setting(engine) as setting:
+    async with StewardHarness(engine) as harness:
         for number in range(1, 13):
             adapter = f"a{number}"
-            assert await setting.want(number, adapter)
-            setting.release(adapter)
+            assert await harness.request_turn(number, adapter)
+            harness.release(adapter)
         await asyncio.sleep(0.4)
     assert engine.most <= SLOTS
 
 
 async def test_what_is_in_use_stays_and_the_wish_is_given_up_in_time():
     engine = FakeEngine()
-    async with Setting(engine) as setting:
+    async with StewardHarness(engine) as harness:
         for number in range(1, SLOTS + 1):
-            assert await setting.want(number, f"a{number}")
-        assert not await setting.want(9, "b", wait=0.3)
+            assert await harness.request_turn(number, f"a{number}")
+        assert not await harness.request_turn(9, "b", wait=0.3)
         assert set(engine.adapters) == {"a1", "a2", "a3"}
-        setting.release("a2")
-        assert await setting.want(10, "b")
+        harness.release("a2")
+        assert await harness.request_turn(10, "b")
         assert set(engine.adapters) == {"a1", "b", "a3"}
 
 
 async def test_fencing_numbers_are_asked_for_where_a_log_is_kept():
     """Half of the registries keep no log, and an engine's first order waits longer."""
-    setting = Setting(FakeEngine())
-    setting.feed.links.clear()
-    others = [setting.link_registry(n, "", PeerLink()) for n in (2, 3, 4)]
-    setting.link_registry(5, "r", setting.registry)
-    async with setting:
-        assert await setting.want(1, "a1")
+    harness = StewardHarness(FakeEngine())
+    harness.feed.links.clear()
+    others = [harness.link_registry(n, "", PeerLink()) for n in (2, 3, 4)]
+    harness.link_registry(5, "r", harness.registry)
+    async with harness:
+        assert await harness.request_turn(1, "a1")
     asked = [message for link in others for message in link.sent]
     assert not any(isinstance(message, AskFence) for message in asked)
 
 
 async def test_every_order_bears_the_fence_and_the_count_of_those_before():
     engine = FakeEngine()
-    async with Setting(engine) as setting:
+    async with StewardHarness(engine) as harness:
         for number in range(1, 6):
-            await setting.want(number, f"a{number}")
-            setting.release(f"a{number}")
+            await harness.request_turn(number, f"a{number}")
+            harness.release(f"a{number}")
     assert [order.sequence for order in engine.orders] == list(
         range(len(engine.orders))
     )
@@ -249,19 +249,19 @@
             super().__init__()
             self.given_up = asyncio.Event()
 
-        async def order(self, order: WeightOrder, patience: float) -> OrderEnd:
+        async def send_order(self, order: WeightOrder, timeout: float) -> OrderOutcome:
             if not self.orders:
                 self.orders.append(order)
                 await self.given_up.wait()
-                return OrderEnd.UNKNOWN
-            return await super().order(order, patience)
+                return OrderOutcome.UNKNOWN
+            return await super().send_order(order, timeout)
 
     engine = SilentEngine()
-    async with Setting(engine) as setting:
-        first = asyncio.create_task(setting.want(1, "a", wait=0.3))
+    async with StewardHarness(engine) as harness:
+        first = asyncio.create_task(harness.request_turn(1, "a", wait=0.3))
         while not engine.orders:
             await asyncio.sleep(0.01)
-        second = asyncio.create_task(setting.want(2, "b"))
+        second = asyncio.create_task(harness.request_turn(2, "b"))
         await asyncio.sleep(0.4)
         engine.given_up.set()
         assert await second
@@ -269,7 +269,7 @@
     assert [order.key.adapter for order in engine.orders] == ["a", "a", "b"]
 
 
-class MortalEngine(FakeEngine):
+class StoppableEngine(FakeEngine):
     """Can be gone."""
 
     gone = False
@@ -281,26 +281,26 @@
 
 
 async def test_an_engine_that_is_gone_gets_no_orders_and_callers_are_told():
-    engine = MortalEngine()
+    engine = StoppableEngine()
     engine.gone = True
-    async with Setting(engine) as setting:
-        assert not await setting.want(1, "a", wait=0.3)
+    async with StewardHarness(engine) as harness:
+        assert not await harness.request_turn(1, "a", wait=0.3)
     assert engine.orders == []
 
 
 async def test_who_waits_at_an_engine_that_goes_is_sent_elsewhere_at_once():
     """Callers wait a second and more at an engine that is down, and then elsewhere."""
-    engine = MortalEngine()
-    async with Setting(engine) as setting:
+    engine = StoppableEngine()
+    async with StewardHarness(engine) as harness:
         for number in range(SLOTS):
-            assert await setting.want(number + 1, f"a{number}")
-        waiting = asyncio.create_task(setting.want(9, "b", wait=30.0))
+            assert await harness.request_turn(number + 1, f"a{number}")
+        waiting = asyncio.create_task(harness.request_turn(9, "b", wait=30.0))
         await asyncio.sleep(0.3)
         engine.gone = True
         async with asyncio.timeout(2.0):
             assert not await waiting
-            assert not await setting.want(10, "c", wait=30.0)
-        reports = [m for m in setting.gateway.sent if isinstance(m, EngineReport)]
+            assert not await harness.request_turn(10, "c", wait=30.0)
+        reports = [m for m in harness.gateway.sent if isinstance(m, EngineReport)]
         assert reports[0].holdings
         assert not reports[-1].holdings
 
@@ -311,7 +311,7 @@
         ({}, "t9", True),
         ({"holdings": (), "on_disk": frozenset({MODEL})}, "t9", True),
         # on its way out, not healthy, of another service
-        ({"leaving": True}, "t9", False),
+        ({"draining": True}, "t9", False),
         ({}, None, False),
         ({"holdings": (Holding(ModelName("other"), 1),)}, "t9", False),
         ({"holdings": ()}, "t9", False),
@@ -324,34 +324,34 @@
         async def read_state(self) -> EngineState:
             return replace(await super().read_state(), **state)
 
-        async def read_name(self, health_path: str) -> TargetId | None:
+        async def read_target_id(self, health_path: str) -> TargetId | None:
             return name
 
-    setting = Setting(FreshEngine())
-    setting.feed.view = TargetView()
+    harness = StewardHarness(FreshEngine())
+    harness.feed.view = TargetView()
     told = []
-    setting.feed.tell = told.append
-    async with setting:
-        asking = asyncio.create_task(setting.want(1, "a", wait=0.3))
+    harness.feed.tell = told.append
+    async with harness:
+        asking = asyncio.create_task(harness.request_turn(1, "a", wait=0.3))
         await asking
-        known = setting.feed.view.find_address(ADDRESS)
+        known = harness.feed.view.find_address(ADDRESS)
         assert (known is not None) == named
         assert [message.registrations for message in told] == [(known,)] * named
         if named and state.get("holdings") is None:
-            assert setting.engine.orders[0].target == name
+            assert harness.engine.orders[0].target == name
 
 
 async def test_what_an_engine_says_of_itself_goes_before_its_steward_s_word():
-    setting = Setting(FakeEngine())
-    announced = setting.feed.view.find_address(ADDRESS)
-    setting.feed.view = TargetView()
-    async with setting:
-        while (stated := setting.feed.view.find_address(ADDRESS)) is None:
+    harness = StewardHarness(FakeEngine())
+    announced = harness.feed.view.find_address(ADDRESS)
+    harness.feed.view = TargetView()
+    async with harness:
+        while (stated := harness.feed.view.find_address(ADDRESS)) is None:
             await asyncio.sleep(0.01)
         assert stated.target == "t9"
         own = msgspec.structs.replace(announced, target=stated.target)
-        assert setting.feed.view.merge(own, 1.0)
-        assert not setting.feed.view.merge(stated, 2.0)
+        assert harness.feed.view.merge(own, 1.0)
+        assert not harness.feed.view.merge(stated, 2.0)
 
 
 @pytest.mark.parametrize(
@@ -367,8 +367,8 @@
 )
 async def test_the_newest_word_of_a_gateway_is_the_limit(told, leaves, limit):
     """A gateway that has told of a limit ends, and the others send without it."""
-    setting = Setting(FakeEngine())
-    steward, links = setting.steward, [PeerLink(), PeerLink()]
+    harness = StewardHarness(FakeEngine())
+    steward, links = harness.steward, [PeerLink(), PeerLink()]
     serving = [asyncio.create_task(steward.serve_link(link)) for link in links]
     for gateway, rate in told:
         links[gateway].inbox.put_nowait(RateTold(TargetId("t"), rate))
@@ -388,13 +388,13 @@
 
 
 async def test_another_life_of_the_engine_has_no_limit():
-    setting = Setting(FakeEngine())
-    async with setting:
-        setting.gateway.inbox.put_nowait(RateTold(TargetId("t"), 2.0))
-        assert await setting.want(1, "a1")
-        assert setting.steward.list_gauges()["rate_limit"] == 2.0
-        setting.engine.born = 2
-        while setting.steward.list_gauges()["rate_limit"]:
+    harness = StewardHarness(FakeEngine())
+    async with harness:
+        harness.gateway.inbox.put_nowait(RateTold(TargetId("t"), 2.0))
+        assert await harness.request_turn(1, "a1")
+        assert harness.steward.list_gauges()["rate_limit"] == 2.0
+        harness.engine.born = 2
+        while harness.steward.list_gauges()["rate_limit"]:
             await asyncio.sleep(0.01)
 
 
@@ -402,10 +402,10 @@
 async def test_what_a_limit_does_not_let_through_in_time_goes_elsewhere(rate, given):
     """A request waits in vain at an engine that looks idle since it has a limit."""
     engine = FakeEngine()
-    async with Setting(engine) as setting:
-        assert await setting.want(1, "a1")
-        setting.gateway.inbox.put_nowait(RateTold(TargetId("t"), rate))
-        assert await setting.want(2, "a2", wait=2.0) == given
+    async with StewardHarness(engine) as harness:
+        assert await harness.request_turn(1, "a1")
+        harness.gateway.inbox.put_nowait(RateTold(TargetId("t"), rate))
+        assert await harness.request_turn(2, "a2", wait=2.0) == given
     assert {order.key.adapter for order in engine.orders} == (
         {"a1", "a2"} if given else {"a1"}
     )
