--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -183,7 +183,7 @@
         "        if False:\n",
         (
             "tests/steward/test_steward.py"
-            "::test_an_engine_that_nobody_has_heard_of_is_named",
+            "::test_unregistered_engine_is_registered_by_its_steward",
         ),
     ),
     Guard(
--- a/src/ibishead/platform/settings.py
+++ b/src/ibishead/platform/settings.py
@@ -23,7 +23,7 @@
 STEWARD_PORT_OFFSET = 1
 
 #: Share of the retry budget that is used. The rest is left for callers' own retries,
-#: which look like those of gateways, and for clocks that count other time windows.
+#: which look like those of gateways, and for counts of retries over other time windows.
 USED_RETRY_SHARE = 0.7
 
 #: File descriptors of a gateway that aren't available for connections of callers: they
--- a/tests/onplatform/conftest.py
+++ b/tests/onplatform/conftest.py
@@ -1,11 +1,11 @@
-"""The world that tests of the whole path on the platform's wire run in."""
+"""Fixture with a running cluster on loopback for tests of the whole path."""
 
 import pytest
-from tests.onplatform.standin import World
+from tests.onplatform.standin import Cluster
 
 
 @pytest.fixture
-async def world(tmp_path):
-    async with World(tmp_path) as running:
+async def cluster(tmp_path):
+    async with Cluster(tmp_path) as running:
         await running.wait_ready()
         yield running
--- a/tests/onplatform/standin.py
+++ b/tests/onplatform/standin.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform on loopback: targets, an operator and callers.
+"""A stand-in for the platform on loopback: targets, an operator and callers.
 
-Written from the platform's published protocol. Every host is an address of its own in
-127.0.0.0/8, so that ports are the same on all hosts.
+It follows the platform's published protocol. Each host has its own address in
+127.0.0.0/8, so that all hosts can use the same ports.
 """
 
 import asyncio
@@ -28,44 +28,44 @@
 MODEL = "m0"
 SLOTS = 4
 
-_STARTED = 20.0
+_START_TIMEOUT_SECONDS = 20.0
 _networks = itertools.count(os.getpid() % 200)
 
 
 @dataclass
 class Ledger:
-    """What targets have run: request id to the names of those that ran it."""
+    """Executions of requests: request ID to the names of the targets that ran it."""
 
     runs: dict[str, list[str]] = field(default_factory=dict)
 
-    def note(self, request: str, target: str) -> None:
+    def record(self, request: str, target: str) -> None:
         self.runs.setdefault(request, []).append(target)
 
 
 class Target:
     """One target: a plain service, or a model engine with adapter slots."""
 
-    def __init__(self, world: "World", address: str, service: str, engine: bool):
-        self.world = world
+    def __init__(self, cluster: "Cluster", address: str, service: str, engine: bool):
+        self.cluster = cluster
         self.endpoint = Endpoint(address, ENGINE_PORT if engine else PLAIN_PORT)
         self.service = service
         self.engine = engine
-        self._begin_life()
-        self.work = 0.02
+        self._reset()
+        self.work_seconds = 0.02
         self.events = 6
-        self.event_pause = 0.02
+        self.event_interval = 0.02
         self.refusing = False
-        self.losing = False
-        self.most_held = 0
-        #: Requests a second that its answers name as its limit.
+        self.losing_answers = False
+        self.max_held = 0
+        #: Requests per second that its answers name as its rate limit.
         self.rate_limit: float | None = None
-        #: When requests came, monotonic seconds.
+        #: Arrival times of requests, monotonic seconds.
         self.arrivals: list[float] = []
         self._server = WebServer(self._serve)
-        self._beater: asyncio.Task[None] | None = None
+        self._announcer: asyncio.Task[None] | None = None
 
-    def _begin_life(self) -> None:
-        """Start as one that nobody has heard of, with nothing in place."""
+    def _reset(self) -> None:
+        """Become a new instance with no weights loaded."""
         self.born = int(time.time() * 1000)
         self.name = f"i-{self.endpoint.address}-{self.born}"
         self.state = "ready"
@@ -76,18 +76,18 @@
         self.sequence = 0
 
     async def lose_power(self) -> None:
-        """End at once, with all that was in place; `start` begins another life."""
+        """Stop at once and lose all weights; `start` starts a new instance."""
         await self.stop()
-        self._begin_life()
+        self._reset()
         self._server = WebServer(self._serve)
 
     async def start(self) -> None:
         await self._server.start(self.endpoint)
-        self._beater = asyncio.create_task(self._beat())
+        self._announcer = asyncio.create_task(self._announce_periodically())
 
     async def stop(self) -> None:
-        if self._beater is not None:
-            self._beater.cancel()
+        if self._announcer is not None:
+            self._announcer.cancel()
         await self._server.stop(0.0)
 
     def describe(self) -> dict:
@@ -111,17 +111,17 @@
     async def announce(self) -> bool:
         self.sequence += 1
         path = f"/api/instances/{self.name}/heartbeat"
-        for registry in random.sample(self.world.registries, 3):
+        for registry in random.sample(self.cluster.registries, 3):
             with contextlib.suppress(LinkLost, TimeoutError):
                 async with asyncio.timeout(1.0):
-                    status, _ = await self.world.call(
+                    status, _ = await self.cluster.call(
                         registry, "POST", path, json.dumps(self.describe()).encode()
                     )
                 if status == 200:
                     return True
         return False
 
-    async def _beat(self) -> None:
+    async def _announce_periodically(self) -> None:
         while True:
             await self.announce()
             await asyncio.sleep(0.3)
@@ -167,14 +167,14 @@
             self.adapters.pop(name, None)
             await exchange.respond(200, ())
             return
-        version = order.get("version") or self.world.newest.get(name, 1)
+        version = order.get("version") or self.cluster.newest_versions.get(name, 1)
         self.pending[name] = version
-        self.most_held = max(self.most_held, len(self.adapters | self.pending))
-        asyncio.get_running_loop().call_later(0.05, self._finish_load, name)
+        self.max_held = max(self.max_held, len(self.adapters | self.pending))
+        asyncio.get_running_loop().call_later(0.05, self._complete_load, name)
         await exchange.respond(202, ())
 
-    def _finish_load(self, name: str) -> None:
-        # a load ends with the life that it was ordered in
+    def _complete_load(self, name: str) -> None:
+        # a power failure discards the loads in progress
         if name in self.pending:
             self.adapters[name] = self.pending.pop(name)
 
@@ -193,9 +193,9 @@
         if adapter and adapter not in self.adapters:
             await exchange.respond(421, refusal)
             return
-        self.world.ledger.note(request, self.name)
+        self.cluster.ledger.record(request, self.name)
         self.arrivals.append(time.monotonic())
-        if self.losing:
+        if self.losing_answers:
             exchange.abort()
             return
         stamp = f"{self.name}.{adapter}@{self.adapters.get(adapter, 0)}"
@@ -203,7 +203,7 @@
         if self.rate_limit is not None:
             own += (("server-limit", str(self.rate_limit)),)
         if not self.engine:
-            await asyncio.sleep(self.work)
+            await asyncio.sleep(self.work_seconds)
             body = b"done " + request.encode() + b" " + exchange.request.body
             await exchange.respond(200, own, body)
             return
@@ -211,12 +211,12 @@
         kind = (("content-type", "text/event-stream"),)
         await exchange.start(200, own + kind)
         for number in range(first, self.events + 1):
-            await asyncio.sleep(self.event_pause)
+            await asyncio.sleep(self.event_interval)
             await exchange.send(b"id: %d\ndata: t%d\n\n" % (number, number))
         await exchange.finish()
 
 
-class World:
+class Cluster:
     """Four registries, two gateways, two engines with stewards, two plain targets."""
 
     def __init__(self, folder: Path) -> None:
@@ -224,24 +224,24 @@
         self.folder = folder
         self._prefix = f"127.{50 + net % 200}.{random.randrange(1, 250)}"
         self.ledger = Ledger()
-        self.newest: dict[str, int] = {}
-        self.edges = [f"{self._prefix}.{n}" for n in (1, 2, 3, 4)]
-        self.sides = [f"{self._prefix}.{n}" for n in (11, 12)]
-        self.registries = [Endpoint(a, CONTROL) for a in self.edges]
-        self.gateways = [Endpoint(a, FRONT) for a in self.edges[:2]]
+        self.newest_versions: dict[str, int] = {}
+        self.edge_hosts = [f"{self._prefix}.{n}" for n in (1, 2, 3, 4)]
+        self.side_hosts = [f"{self._prefix}.{n}" for n in (11, 12)]
+        self.registries = [Endpoint(a, CONTROL) for a in self.edge_hosts]
+        self.gateways = [Endpoint(a, FRONT) for a in self.edge_hosts[:2]]
         self.programs: dict[tuple[str, str], Program] = {}
-        self.engines = [Target(self, a, "plans", True) for a in self.sides]
+        self.engines = [Target(self, a, "plans", True) for a in self.side_hosts]
         self.plain = [
             Target(self, f"{self._prefix}.{n}", "stock", False) for n in (21, 22)
         ]
         self._numbers = itertools.count(1)
 
-    async def __aenter__(self) -> "World":
-        for address in self.edges:
+    async def __aenter__(self) -> "Cluster":
+        for address in self.edge_hosts:
             self.make_program("registry", address, first=True)
-        for address in self.edges[:2]:
+        for address in self.edge_hosts[:2]:
             self.make_program("gateway", address)
-        for address in self.sides:
+        for address in self.side_hosts:
             self.make_program("steward", address)
         for program in self.programs.values():
             program.start()
@@ -339,9 +339,9 @@
         finally:
             connection.close()
 
-    async def operate(self, path: str, body: dict) -> int:
-        """Send an operator's call to any registry until it is answered clearly."""
-        async with asyncio.timeout(_STARTED):
+    async def call_as_operator(self, path: str, body: dict) -> int:
+        """Repeat an operator's call at random registries until its status is < 500."""
+        async with asyncio.timeout(_START_TIMEOUT_SECONDS):
             while True:
                 registry = random.choice(self.registries)
                 with contextlib.suppress(LinkLost, TimeoutError):
@@ -354,21 +354,27 @@
                 await asyncio.sleep(0.1)
 
     async def wait_replaced(self, times: int) -> None:
-        """Wait until other replicas vote in place of this many lost ones."""
-        programs = [self.programs["registry", edge] for edge in self.edges]
+        """Wait until this many lost voters have been replaced.
+
+        :param times: number of replacements.
+        """
+        programs = [self.programs["registry", edge] for edge in self.edge_hosts]
 
         def is_replaced() -> bool:
             lines = [line for p in programs for line in p.log.splitlines()]
-            # a replacement that was interrupted ends with the learner's vote
+            # an interrupted replacement is completed when the learner becomes a voter
             done = [n for n in lines if " replaced by " in n or ' votes"' in n]
             return len(done) >= times
 
         await wait_until(f"{times} lost replicas are replaced", is_replaced)
 
-    async def ask(
+    async def request(
         self, route: str, gateway: Endpoint | None = None, model: str = "", **headers
     ) -> tuple[int, bytes, str]:
-        """Send one request of a caller; returns status, body and its id."""
+        """Send one request of a caller.
+
+        :returns: status, body and request ID.
+        """
         request = f"r{next(self._numbers)}"
         sent = [("request-id", request), ("deadline-ms", "4000")]
         if model:
@@ -387,13 +393,15 @@
             connection.close()
 
     async def wait_ready(self) -> None:
-        """Return once both gateways serve all routes."""
-        assert await self.operate("/api/config/put", self.make_config(1)) == 200
-        async with asyncio.timeout(_STARTED):
+        """Wait until both gateways serve all routes."""
+        assert (
+            await self.call_as_operator("/api/config/put", self.make_config(1)) == 200
+        )
+        async with asyncio.timeout(_START_TIMEOUT_SECONDS):
             for gateway in self.gateways:
                 for route, model in (("look", ""), ("plan", f"{MODEL}/warm")):
                     while True:
                         with contextlib.suppress(LinkLost):
-                            if (await self.ask(route, gateway, model))[0] == 200:
+                            if (await self.request(route, gateway, model))[0] == 200:
                                 break
                         await asyncio.sleep(0.1)
--- a/tests/onplatform/test_bodies.py
+++ b/tests/onplatform/test_bodies.py
@@ -1,4 +1,4 @@
-"""What arrives at the doors: well-formed, malformed and hostile."""
+"""Decoding of bodies and headers: well-formed, malformed and hostile input."""
 
 import contextlib
 import json
@@ -65,7 +65,7 @@
 )
 
 
-def test_a_heartbeat_is_read_whole():
+def test_heartbeat_is_decoded():
     found = decode_heartbeat("i-1", json.dumps(HEARTBEAT).encode())
     assert (found.target, found.service, found.sequence) == ("i-1", "plans", 4)
     assert found.state is TargetState.READY
@@ -90,7 +90,7 @@
         {"models": [{"name": "m", "adapters": ["a@x"]}]},
     ],
 )
-def test_a_malformed_heartbeat_names_no_target(change):
+def test_malformed_heartbeat_is_refused(change):
     with pytest.raises(InvalidInput):
         decode_heartbeat("i-1", json.dumps({**HEARTBEAT, **change}).encode())
 
@@ -98,13 +98,13 @@
 @pytest.mark.parametrize(
     "missing", ["backend", "address", "zone", "slots", "state", "seq"]
 )
-def test_a_heartbeat_without_a_field_names_no_target(missing):
+def test_heartbeat_without_required_field_is_refused(missing):
     body = {k: v for k, v in HEARTBEAT.items() if k != missing}
     with pytest.raises(InvalidInput):
         decode_heartbeat("i-1", json.dumps(body).encode())
 
 
-def test_a_route_set_is_read_whole():
+def test_route_set_is_decoded():
     found = decode_routes(json.dumps(CONFIG).encode())
     route = found.routes[0]
     assert (found.version, route.hostname, route.timeout) == (7, "nets.example", 15.0)
@@ -114,7 +114,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_bytes_that_are_nothing_are_refused(data):
+def test_arbitrary_bytes_raise_only_invalid_input(data):
     for decode in (decode_routes, decode_report, decode_version, decode_deregistration):
         try:
             decode(data)
@@ -125,7 +125,7 @@
 
 
 @given(st.sampled_from(sorted(HEARTBEAT)), JUNK)
-def test_a_field_of_another_kind_never_ends_the_program(field, value):
+def test_heartbeat_with_junk_field_raises_only_invalid_input(field, value):
     body = {**HEARTBEAT, field: value}
     data = json.dumps(body).encode()
     with contextlib.suppress(InvalidInput):
@@ -133,7 +133,7 @@
 
 
 @given(st.sampled_from(sorted(ROUTE)), JUNK)
-def test_a_route_with_junk_is_refused_or_read(field, value):
+def test_route_with_junk_field_raises_only_invalid_input(field, value):
     body = {**CONFIG, "routes": [{**ROUTE, field: value}]}
     with contextlib.suppress(InvalidInput):
         decode_routes(json.dumps(body).encode())
@@ -144,8 +144,8 @@
     return WebRequest("POST", "/p/x", "q=1", named, b"body")
 
 
-def test_what_only_the_system_sets_is_taken_from_callers():
-    """A caller reserves memory, or reads another's, by a header of the system."""
+def test_reserved_headers_of_callers_are_removed():
+    """With a system header a caller could reserve memory or read another caller's."""
     request = make_request(
         host="Nets.Example:80",
         request_id="r1",
@@ -187,7 +187,7 @@
         {"request_id": "r", "prompt_prefix": "ab"},
     ],
 )
-def test_a_call_that_cannot_be_understood_is_refused(headers):
+def test_malformed_call_is_refused(headers):
     with pytest.raises(InvalidInput):
         PlatformCallers().read_call(make_request(**headers))
 
@@ -203,7 +203,7 @@
         (421, {"instance-id": "other"}, True, False),
     ],
 )
-def test_what_an_answer_proves(status, headers, not_run, genuine):
+def test_answer_head_tells_not_run_and_genuine(status, headers, not_run, genuine):
     call = PlatformCallers().read_call(make_request(request_id="r1"))
     head = PlatformTargets().read_head(call, status, tuple(headers.items()))
     assert (head.not_run, head.genuine) == (not_run, genuine)
@@ -214,7 +214,7 @@
     [("2.1", 2.1), ("4", 4.0), ("0", 0.0), ("", None), ("-1", None), ("nan", None)]
     + [("inf", None), ("two", None), (None, None)],
 )
-def test_a_limit_that_cannot_be_read_is_none(text, rate):
+def test_rate_limit_is_none_if_invalid(text, rate):
     call = PlatformCallers().read_call(make_request(request_id="r1"))
     headers = () if text is None else (("server-limit", text),)
     assert PlatformTargets().read_head(call, 200, headers).rate_limit == rate
--- a/tests/onplatform/test_deploy.py
+++ b/tests/onplatform/test_deploy.py
@@ -1,4 +1,4 @@
-"""Where the deploy file places the programs."""
+"""Placement of the programs in the deploy file."""
 
 import tomllib
 from pathlib import Path
@@ -8,6 +8,6 @@
 )["roles"]
 
 
-def test_operators_have_two_hosts_in_each_failure_domain():
-    """Orders wait for seconds behind calls to the one host that stands still."""
+def test_each_failure_domain_has_two_registries():
+    """With a single one, operators' orders wait for seconds while it is stalled."""
     assert ROLES["registry"]["count"] >= 2
--- a/tests/onplatform/test_path.py
+++ b/tests/onplatform/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform's wire: real processes, stand-in targets."""
+"""The whole path over the platform's protocol: real processes, stand-in targets."""
 
 import asyncio
 import signal
@@ -8,41 +8,43 @@
 STREAM = b"".join(b"id: %d\ndata: t%d\n\n" % (n, n) for n in range(1, 7))
 
 
-async def test_a_calm_day_is_served(world):
-    """Plain, unrepeatable and streamed requests, with more adapters than slots."""
+async def test_a_calm_day_is_served(cluster):
+    """Plain, non-idempotent and streamed requests, with more adapters than slots."""
     calls = [
-        world.ask("plan", world.gateways[n % 2], f"{MODEL}/a{n % 11}")
+        cluster.request("plan", cluster.gateways[n % 2], f"{MODEL}/a{n % 11}")
         for n in range(44)
     ]
-    calls += [world.ask(route) for route in ("issue", "look") for _ in range(10)]
+    calls += [cluster.request(route) for route in ("issue", "look") for _ in range(10)]
     answers = await asyncio.gather(*calls)
     assert [status for status, _, _ in answers] == [200] * len(answers)
     for _, body, request in answers[:44]:
         assert body == STREAM, request
     for _, body, request in answers[44:]:
         assert body == f"done {request} body".encode()
-    runs = world.ledger.runs
+    runs = cluster.ledger.runs
     assert all(len(runs[request]) == 1 for _, _, request in answers)
-    for engine in world.engines:
-        assert engine.most_held <= SLOTS
+    for engine in cluster.engines:
+        assert engine.max_held <= SLOTS
         assert len({holder for holder, _ in engine.fences}) == 1
 
 
-async def test_routes_change_at_once_and_stale_ones_change_nothing(world):
-    fewer = world.make_config(7)
+async def test_new_routes_apply_and_stale_or_invalid_ones_are_ignored(cluster):
+    fewer = cluster.make_config(7)
     fewer["routes"] = fewer["routes"][1:]
-    assert await world.operate("/api/config/put", fewer) == 200
-    assert await world.operate("/api/config/put", world.make_config(5)) == 200
+    assert await cluster.call_as_operator("/api/config/put", fewer) == 200
+    assert (
+        await cluster.call_as_operator("/api/config/put", cluster.make_config(5)) == 200
+    )
     async with asyncio.timeout(2.0):
-        for gateway in world.gateways:
-            while (await world.ask("plan", gateway))[0] != 404:
+        for gateway in cluster.gateways:
+            while (await cluster.request("plan", gateway))[0] != 404:
                 await asyncio.sleep(0.05)
-    broken = world.make_config(9)
+    broken = cluster.make_config(9)
     broken["routes"][0]["timeout_ms"] = 0
-    assert await world.operate("/api/config/put", broken) == 400
-    for registry in world.registries:
+    assert await cluster.call_as_operator("/api/config/put", broken) == 400
+    for registry in cluster.registries:
         while True:
-            status, body = await world.call(registry, "GET", "/api/config/get")
+            status, body = await cluster.call(registry, "GET", "/api/config/get")
             if status == 200:
                 break
             assert status in (307, 503)
@@ -52,50 +54,52 @@
         assert status == 307 or b'"version": 7' in body
 
 
-async def test_a_new_adapter_version_is_served_without_a_gap(world):
+async def test_new_adapter_version_is_served_without_interruption(cluster):
     key = f"{MODEL}/hot"
-    assert (await world.ask("plan", model=key))[0] == 200
-    world.newest["hot"] = 2
+    assert (await cluster.request("plan", model=key))[0] == 200
+    cluster.newest_versions["hot"] = 2
     body = {"model": MODEL, "adapter": "hot", "version": 2}
-    assert await world.operate("/api/version-put", body) == 200
+    assert await cluster.call_as_operator("/api/version-put", body) == 200
     end = asyncio.get_running_loop().time() + 5.0
     while asyncio.get_running_loop().time() < end:
-        assert (await world.ask("plan", model=key))[0] == 200
-    holders = [e for e in world.engines if "hot" in e.adapters]
+        assert (await cluster.request("plan", model=key))[0] == 200
+    holders = [e for e in cluster.engines if "hot" in e.adapters]
     assert holders
     assert all(engine.adapters["hot"] == 2 for engine in holders)
 
 
-async def test_what_may_run_once_is_not_sent_again(world):
-    """A material issue is recorded twice."""
-    for target in world.plain:
-        target.losing = True
-    answers = await asyncio.gather(*(world.ask("issue") for _ in range(5)))
+async def test_non_idempotent_request_is_not_retried(cluster):
+    """A retry of a request that may have run would record a material issue twice."""
+    for target in cluster.plain:
+        target.losing_answers = True
+    answers = await asyncio.gather(*(cluster.request("issue") for _ in range(5)))
     assert {status for status, _, _ in answers} == {502}
-    assert all(len(world.ledger.runs[request]) == 1 for _, _, request in answers)
+    assert all(len(cluster.ledger.runs[request]) == 1 for _, _, request in answers)
 
 
-async def test_a_refusal_says_truly_that_nothing_ran(world):
-    for target in world.plain:
+async def test_refused_requests_have_not_run(cluster):
+    for target in cluster.plain:
         target.refusing = True
-    answers = await asyncio.gather(*(world.ask("issue") for _ in range(5)))
+    answers = await asyncio.gather(*(cluster.request("issue") for _ in range(5)))
     assert {status for status, _, _ in answers} <= {429, 503}
-    assert not any(request in world.ledger.runs for _, _, request in answers)
+    assert not any(request in cluster.ledger.runs for _, _, request in answers)
 
 
-async def test_a_planned_stop_of_a_gateway_cuts_nothing(world):
-    """A mender's plan breaks off in the middle while a host is updated."""
-    for engine in world.engines:
-        engine.events, engine.event_pause = 30, 0.05
+async def test_planned_stop_of_gateway_completes_streams(cluster):
+    """Streamed answers would be cut off whenever a gateway's host is updated."""
+    for engine in cluster.engines:
+        engine.events, engine.event_interval = 30, 0.05
     calls = [
-        asyncio.create_task(world.ask("plan", world.gateways[0], f"{MODEL}/warm"))
+        asyncio.create_task(
+            cluster.request("plan", cluster.gateways[0], f"{MODEL}/warm")
+        )
         for _ in range(6)
     ]
     await asyncio.sleep(0.3)
-    program = world.programs["gateway", world.edges[0]]
+    program = cluster.programs["gateway", cluster.edge_hosts[0]]
     program.send(signal.SIGTERM)
     await asyncio.sleep(0.5)
-    late = await world.ask("look", world.gateways[0])
+    late = await cluster.request("look", cluster.gateways[0])
     assert late[0] == 200
     answers = await asyncio.gather(*calls)
     assert [status for status, _, _ in answers] == [200] * 6
@@ -103,41 +107,41 @@
     assert await program.wait_ended() == 0
 
 
-async def test_a_leaving_target_gets_no_new_requests(world):
-    leaving, staying = world.plain
-    leaving.state = "draining"
-    assert await leaving.announce()
+async def test_draining_target_gets_no_new_requests(cluster):
+    draining, ready = cluster.plain
+    draining.state = "draining"
+    assert await draining.announce()
     await asyncio.sleep(0.3)
-    answers = await asyncio.gather(*(world.ask("look") for _ in range(20)))
-    ran = {world.ledger.runs[request][0] for _, _, request in answers}
-    assert ran == {staying.name}
+    answers = await asyncio.gather(*(cluster.request("look") for _ in range(20)))
+    ran = {cluster.ledger.runs[request][0] for _, _, request in answers}
+    assert ran == {ready.name}
 
 
-async def test_a_killed_steward_leaves_its_engine_in_use(world):
-    """Every request for a resident adapter fails while one small process is down."""
-    assert (await world.ask("plan", model=f"{MODEL}/warm"))[0] == 200
-    for address in world.sides:
-        world.programs["steward", address].kill()
-    assert (await world.ask("plan", model=f"{MODEL}/warm"))[0] == 200
+async def test_engine_serves_resident_adapter_without_its_steward(cluster):
+    """All requests for resident adapters would fail while the steward is down."""
+    assert (await cluster.request("plan", model=f"{MODEL}/warm"))[0] == 200
+    for address in cluster.side_hosts:
+        cluster.programs["steward", address].kill()
+    assert (await cluster.request("plan", model=f"{MODEL}/warm"))[0] == 200
 
 
-async def test_a_registry_that_lost_its_disk_votes_again(world):
-    """Two disks are lost in turn, and all that was accepted is still read back."""
-    for lost, address in enumerate(world.edges[:2], 1):
-        program = world.programs["registry", address]
+async def test_registry_with_lost_disk_becomes_voter_again(cluster):
+    """Two registries lose their disks in turn, and no accepted route set is lost."""
+    for lost, address in enumerate(cluster.edge_hosts[:2], 1):
+        program = cluster.programs["registry", address]
         program.kill()
-        data = world.folder / f"data-edge-{address.rpartition('.')[2]}"
+        data = cluster.folder / f"data-edge-{address.rpartition('.')[2]}"
         for file in sorted(data.iterdir()):
             file.unlink()
-        config = world.make_config(lost + 1)
-        again = world.make_program("registry", address)
+        config = cluster.make_config(lost + 1)
+        again = cluster.make_program("registry", address)
         again.start()
-        await world.wait_replaced(lost)
-        assert await world.operate("/api/config/put", config) == 200
+        await cluster.wait_replaced(lost)
+        assert await cluster.call_as_operator("/api/config/put", config) == 200
     async with asyncio.timeout(10.0):
         while True:
-            status, body = await world.call(
-                world.registries[3], "GET", "/api/config/get"
+            status, body = await cluster.call(
+                cluster.registries[3], "GET", "/api/config/get"
             )
             if status == 200:
                 break
--- a/tests/onplatform/test_return.py
+++ b/tests/onplatform/test_return.py
@@ -1,31 +1,34 @@
-"""Back to service after everything has fallen: real processes, stand-in targets."""
+"""Recovery after all programs or hosts have failed, with stand-in targets."""
 
 import asyncio
 import contextlib
 
 import pytest
-from tests.onplatform.standin import MODEL, World
+from tests.onplatform.standin import MODEL, Cluster
 from tests.processes.programs import GIVE_UP
 
 from ibishead.errors import LinkLost
 from ibishead.links import Endpoint
 
-#: Calls in a row that are served before service counts as back.
-IN_A_ROW = 10
+#: Consecutive served calls after which service counts as recovered.
+CONSECUTIVE_CALLS = 10
 
 
-async def call_until_served(world: World, gateway: Endpoint, answers: list) -> None:
-    """Call as callers do who come back, until ten in a row are served."""
+async def call_until_served(cluster: Cluster, gateway: Endpoint, answers: list) -> None:
+    """Send requests until `CONSECUTIVE_CALLS` of them in a row are served.
+
+    :param answers: gets status, body and request ID of each answer.
+    """
     served = number = 0
-    while served < IN_A_ROW:
+    while served < CONSECUTIVE_CALLS:
         number += 1
         route, model = (
             ("plan", f"{MODEL}/a{number % 3}") if number % 2 else ("look", "")
         )
         try:
-            answers.append(await world.ask(route, gateway, model))
+            answers.append(await cluster.request(route, gateway, model))
         except LinkLost:
-            # nobody listens yet
+            # no program listens on the port yet
             await asyncio.sleep(0.05)
             served = 0
             continue
@@ -33,25 +36,30 @@
 
 
 @pytest.mark.parametrize("engines_too", [False, True], ids=["killed", "without-power"])
-async def test_service_returns_with_all_that_was_accepted(world, engines_too):
-    """Callers are refused for minutes, or served by routes that were given up."""
-    assert await world.operate("/api/config/put", world.make_config(2)) == 200
-    for program in world.programs.values():
+async def test_service_recovers_with_accepted_routes(cluster, engines_too):
+    """Callers would be refused for minutes, or served by superseded routes."""
+    assert (
+        await cluster.call_as_operator("/api/config/put", cluster.make_config(2)) == 200
+    )
+    for program in cluster.programs.values():
         program.kill()
     if engines_too:
-        for engine in world.engines:
+        for engine in cluster.engines:
             await engine.lose_power()
-    for program in reversed(list(world.programs.values())):
+    for program in reversed(list(cluster.programs.values())):
         program.start()
     if engines_too:
-        for engine in world.engines:
+        for engine in cluster.engines:
             await engine.start()
     answers: list[tuple[int, bytes, str]] = []
     async with asyncio.timeout(GIVE_UP):
         await asyncio.gather(
-            *(call_until_served(world, gateway, answers) for gateway in world.gateways)
+            *(
+                call_until_served(cluster, gateway, answers)
+                for gateway in cluster.gateways
+            )
         )
-    runs = world.ledger.runs
+    runs = cluster.ledger.runs
     for status, _, request in answers:
         assert status in {200, 429, 503}
         assert len(runs.get(request, ())) == (status == 200)
@@ -59,11 +67,11 @@
     async with asyncio.timeout(GIVE_UP):
         while status != 200:
             with contextlib.suppress(LinkLost):
-                status, body = await world.call(
-                    world.registries[3], "GET", "/api/config/get"
+                status, body = await cluster.call(
+                    cluster.registries[3], "GET", "/api/config/get"
                 )
     assert b'"version": 2' in body
-    # three adapters may all be loaded at one engine
-    holders = [{holder for holder, _ in engine.fences} for engine in world.engines]
+    # all three adapters may be loaded on the same engine
+    holders = [{holder for holder, _ in engine.fences} for engine in cluster.engines]
     assert any(holders)
     assert all(len(found) <= 1 for found in holders)
--- a/tests/steward/test_ledger.py
+++ b/tests/steward/test_ledger.py
@@ -1,4 +1,4 @@
-"""What an engine holds, as its reports and the ends of orders tell."""
+"""What an engine holds, by its reports and the outcomes of orders."""
 
 import pytest
 
@@ -10,7 +10,9 @@
 MODEL = ModelName("m")
 
 
-def report(*adapters: str, sequence: int = 0, born: int = 1, loading=()) -> EngineState:
+def make_report(
+    *adapters: str, sequence: int = 0, born: int = 1, loading=()
+) -> EngineState:
     refs = tuple(AdapterRef(name, 1) for name in adapters)
     pending = tuple((key(name), AdapterRef(name, 1)) for name in loading)
     return EngineState(born, sequence, False, (Holding(MODEL, 1, refs),), pending)
@@ -20,13 +22,13 @@
     return WeightKey(MODEL, name)
 
 
-def order(name: str, load: bool = True) -> WeightOrder:
+def make_order(name: str, load: bool = True) -> WeightOrder:
     return WeightOrder(load, key(name), 0, 0, HostId("s"), 1, TargetId("t"))
 
 
-def make(*adapters: str) -> OrderLedger:
+def make_ledger(*adapters: str) -> OrderLedger:
     ledger = OrderLedger()
-    ledger.record_report(report(*adapters), 0.0)
+    ledger.record_report(make_report(*adapters), 0.0)
     return ledger
 
 
@@ -41,28 +43,28 @@
         (False, OrderOutcome.UNKNOWN, False, 0, True),
     ],
 )
-def test_what_an_order_changes_before_the_next_report(
+def test_order_outcome_updates_ledger_before_next_report(
     load, outcome, held, sequence, report_needed
 ):
-    ledger = make("a")
-    ledger.record_outcome(order("b" if load else "a", load), outcome, 1.0)
+    ledger = make_ledger("a")
+    ledger.record_outcome(make_order("b" if load else "a", load), outcome, 1.0)
     assert ledger.holds(key("a"), 1) is held
     assert (ledger.sequence, ledger.report_needed) == (sequence, report_needed)
     if load:
         assert not ledger.holds(key("b"), 1)
 
 
-def test_an_order_on_its_way_counts_until_it_shows_or_came_to_nothing():
-    ledger = make("a")
-    ledger.record_outcome(order("b"), OrderOutcome.STARTED, 1.0)
-    ledger.record_report(report("a", sequence=1), 1.1)
+def test_accepted_order_is_pending_until_done_or_never_reported():
+    ledger = make_ledger("a")
+    ledger.record_outcome(make_order("b"), OrderOutcome.STARTED, 1.0)
+    ledger.record_report(make_report("a", sequence=1), 1.1)
     assert ledger.has_pending_orders
     ledger.record_report(
-        report("a", sequence=1, loading=("b",)), 1.0 + 2 * UNREPORTED_ORDER_SECONDS
+        make_report("a", sequence=1, loading=("b",)), 1.0 + 2 * UNREPORTED_ORDER_SECONDS
     )
     assert ledger.has_pending_orders
     ledger.record_report(
-        report("a", "b", sequence=1), 1.0 + 3 * UNREPORTED_ORDER_SECONDS
+        make_report("a", "b", sequence=1), 1.0 + 3 * UNREPORTED_ORDER_SECONDS
     )
     assert not ledger.has_pending_orders
     assert ledger.holds(key("b"), 1)
@@ -71,21 +73,21 @@
 @pytest.mark.parametrize(
     ("state", "restarted"),
     [
-        (report("a", sequence=5), False),
-        (report("a", sequence=4), True),
-        (report("a", sequence=5, born=2), True),
+        (make_report("a", sequence=5), False),
+        (make_report("a", sequence=4), True),
+        (make_report("a", sequence=5, born=2), True),
     ],
 )
-def test_a_new_life_knows_nothing_of_earlier_orders(state, restarted):
-    ledger = make("a")
-    ledger.record_report(report("a", sequence=5), 0.0)
-    ledger.record_outcome(order("b"), OrderOutcome.UNKNOWN, 1.0)
+def test_engine_restart_discards_earlier_orders(state, restarted):
+    ledger = make_ledger("a")
+    ledger.record_report(make_report("a", sequence=5), 0.0)
+    ledger.record_outcome(make_order("b"), OrderOutcome.UNKNOWN, 1.0)
     assert ledger.record_report(state, 1.1) is restarted
     assert (ledger.unanswered_order is None) is restarted
 
 
-def test_an_engine_that_is_lost_holds_nothing():
-    ledger = make("a")
+def test_unreachable_engine_holds_nothing():
+    ledger = make_ledger("a")
     assert ledger.record_unreachable()
     assert not ledger.record_unreachable()
     assert not ledger.holds(key("a"), 1)
--- a/tests/steward/test_steward.py
+++ b/tests/steward/test_steward.py
@@ -1,4 +1,4 @@
-"""A steward and an engine that loses answers, acts late, restarts or is full."""
+"""A steward whose engine loses answers, obeys orders late, restarts or is full."""
 
 import asyncio
 import random
@@ -49,16 +49,18 @@
 
 
 class FakeEngine:
-    """Loads at once; loses some answers and carries some orders out late.
+    """Loads without delay, loses some answers and carries some orders out late.
 
-    :ivar most: adapters held at once, at most.
+    :param lose: share of answers that are lost.
+    :param late: share of orders that are carried out 0.3 s later, without an answer.
+    :ivar max_held: most adapters held at the same time.
     """
 
     def __init__(self, lose: float = 0.0, late: float = 0.0, seed: int = 1) -> None:
         self.born = 1
         self.adapters: dict[str, int] = {}
         self.count = 0
-        self.most = 0
+        self.max_held = 0
         self.orders: list[WeightOrder] = []
         self._lose, self._late = lose, late
         self._random = random.Random(seed)
@@ -75,8 +77,8 @@
         if self._random.random() < self._late:
             asyncio.get_running_loop().call_later(0.3, self._carry_out, order)
             return OrderOutcome.UNKNOWN
-        end = self._carry_out(order)
-        return OrderOutcome.UNKNOWN if self._random.random() < self._lose else end
+        outcome = self._carry_out(order)
+        return OrderOutcome.UNKNOWN if self._random.random() < self._lose else outcome
 
     def _carry_out(self, order: WeightOrder) -> OrderOutcome:
         if order.sequence != self.count:
@@ -86,18 +88,18 @@
             self.adapters.pop(order.key.adapter, None)
             return OrderOutcome.COMPLETED
         self.adapters[order.key.adapter] = max(1, order.version)
-        self.most = max(self.most, len(self.adapters))
+        self.max_held = max(self.max_held, len(self.adapters))
         return OrderOutcome.STARTED
 
 
 class PeerLink(FakeLink):
-    """A gateway's or a registry's end of a link."""
+    """The end of a link at a gateway or a registry."""
 
     def __init__(self) -> None:
         super().__init__()
         self.peer = Hello(Role.ENTRY, HostId("g"))
 
-    def answered(self, number: int) -> bool | None:
+    def find_answer(self, number: int) -> bool | None:
         for message in self.sent:
             if isinstance(message, TurnAnswer) and message.number == number:
                 return message.given
@@ -145,7 +147,7 @@
         self._tasks = [
             asyncio.create_task(self.steward.run()),
             asyncio.create_task(self.steward.serve_link(self.gateway)),
-            asyncio.create_task(self._give_fences()),
+            asyncio.create_task(self._issue_fencing_numbers()),
         ]
         return self
 
@@ -154,7 +156,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _give_fences(self) -> None:
+    async def _issue_fencing_numbers(self) -> None:
         fence = 0
         while True:
             for message in self.registry.sent:
@@ -182,7 +184,7 @@
         key = WeightKey(MODEL, adapter)
         self.gateway.inbox.put_nowait(AskTurn(number, key, 0, wait))
         async with asyncio.timeout(wait + 1):
-            while (ready := self.gateway.answered(number)) is None:
+            while (ready := self.gateway.find_answer(number)) is None:
                 await asyncio.sleep(0.005)
         return ready
 
@@ -193,8 +195,8 @@
 @pytest.mark.parametrize(
     ("lose", "late", "seed"), [(0, 0, 1), (0.4, 0, 2), (0, 0.4, 3), (0.3, 0.3, 4)]
 )
-async def test_adapters_come_and_slots_hold_whatever_is_lost(lose, late, seed):
-    """An engine ends itself, ordered beyond its slots."""
+async def test_adapters_are_loaded_within_slots_despite_lost_answers(lose, late, seed):
+    """An engine that is ordered to exceed its adapter slots terminates."""
     engine = FakeEngine(lose, late, seed)
     async with StewardHarness(engine) as harness:
         for number in range(1, 13):
@@ -202,10 +204,10 @@
             assert await harness.request_turn(number, adapter)
             harness.release(adapter)
         await asyncio.sleep(0.4)
-    assert engine.most <= SLOTS
+    assert engine.max_held <= SLOTS
 
 
-async def test_what_is_in_use_stays_and_the_wish_is_given_up_in_time():
+async def test_adapters_in_use_stay_and_waiting_request_expires():
     engine = FakeEngine()
     async with StewardHarness(engine) as harness:
         for number in range(1, SLOTS + 1):
@@ -217,8 +219,8 @@
         assert set(engine.adapters) == {"a1", "b", "a3"}
 
 
-async def test_fencing_numbers_are_asked_for_where_a_log_is_kept():
-    """Half of the registries keep no log, and an engine's first order waits longer."""
+async def test_fencing_numbers_are_requested_from_log_replicas():
+    """Asking registries without a log would delay an engine's first order."""
     harness = StewardHarness(FakeEngine())
     harness.feed.links.clear()
     others = [harness.link_registry(n, "", PeerLink()) for n in (2, 3, 4)]
@@ -229,7 +231,7 @@
     assert not any(isinstance(message, AskFence) for message in asked)
 
 
-async def test_every_order_bears_the_fence_and_the_count_of_those_before():
+async def test_orders_carry_sequence_holder_and_target():
     engine = FakeEngine()
     async with StewardHarness(engine) as harness:
         for number in range(1, 6):
@@ -241,18 +243,20 @@
     assert {(order.holder, order.target) for order in engine.orders} == {("side", "t")}
 
 
-async def test_an_order_whose_answer_was_lost_is_given_again_before_any_other():
-    """An engine gets one adapter more than it has slots for, and ends itself."""
+async def test_unanswered_order_is_repeated_before_any_other():
+    """The engine may still carry the unanswered order out. With another order besides,
+    it would hold one adapter more than it has slots for, and terminate.
+    """
 
     class SilentEngine(FakeEngine):
         def __init__(self) -> None:
             super().__init__()
-            self.given_up = asyncio.Event()
+            self.timed_out = asyncio.Event()
 
         async def send_order(self, order: WeightOrder, timeout: float) -> OrderOutcome:
             if not self.orders:
                 self.orders.append(order)
-                await self.given_up.wait()
+                await self.timed_out.wait()
                 return OrderOutcome.UNKNOWN
             return await super().send_order(order, timeout)
 
@@ -263,40 +267,40 @@
             await asyncio.sleep(0.01)
         second = asyncio.create_task(harness.request_turn(2, "b"))
         await asyncio.sleep(0.4)
-        engine.given_up.set()
+        engine.timed_out.set()
         assert await second
         assert not await first
     assert [order.key.adapter for order in engine.orders] == ["a", "a", "b"]
 
 
 class StoppableEngine(FakeEngine):
-    """Can be gone."""
+    """An engine that can be made unreachable."""
 
-    gone = False
+    down = False
 
     async def read_state(self) -> EngineState:
-        if self.gone:
+        if self.down:
             raise LinkLost("gone", "start it")
         return await super().read_state()
 
 
-async def test_an_engine_that_is_gone_gets_no_orders_and_callers_are_told():
+async def test_unreachable_engine_gets_no_orders_and_requests_are_refused():
     engine = StoppableEngine()
-    engine.gone = True
+    engine.down = True
     async with StewardHarness(engine) as harness:
         assert not await harness.request_turn(1, "a", wait=0.3)
     assert engine.orders == []
 
 
-async def test_who_waits_at_an_engine_that_goes_is_sent_elsewhere_at_once():
-    """Callers wait a second and more at an engine that is down, and then elsewhere."""
+async def test_waiting_requests_are_refused_at_once_when_engine_is_lost():
+    """Callers would wait for a second or more at an engine that is down."""
     engine = StoppableEngine()
     async with StewardHarness(engine) as harness:
         for number in range(SLOTS):
             assert await harness.request_turn(number + 1, f"a{number}")
         waiting = asyncio.create_task(harness.request_turn(9, "b", wait=30.0))
         await asyncio.sleep(0.3)
-        engine.gone = True
+        engine.down = True
         async with asyncio.timeout(2.0):
             assert not await waiting
             assert not await harness.request_turn(10, "c", wait=30.0)
@@ -310,15 +314,17 @@
     [
         ({}, "t9", True),
         ({"holdings": (), "on_disk": frozenset({MODEL})}, "t9", True),
-        # on its way out, not healthy, of another service
+        # draining, not healthy, of another service
         ({"draining": True}, "t9", False),
         ({}, None, False),
         ({"holdings": (Holding(ModelName("other"), 1),)}, "t9", False),
         ({"holdings": ()}, "t9", False),
     ],
 )
-async def test_an_engine_that_nobody_has_heard_of_is_named(state, name, named):
-    """After a loss of power engines are without their models for a second longer."""
+async def test_unregistered_engine_is_registered_by_its_steward(state, name, named):
+    """After a power failure engines would be without models for a second longer, until
+    their own announcements.
+    """
 
     class FreshEngine(FakeEngine):
         async def read_state(self) -> EngineState:
@@ -329,33 +335,33 @@
 
     harness = StewardHarness(FreshEngine())
     harness.feed.view = TargetView()
-    told = []
-    harness.feed.tell = told.append
+    sent = []
+    harness.feed.tell = sent.append
     async with harness:
         asking = asyncio.create_task(harness.request_turn(1, "a", wait=0.3))
         await asking
         known = harness.feed.view.find_address(ADDRESS)
         assert (known is not None) == named
-        assert [message.registrations for message in told] == [(known,)] * named
+        assert [message.registrations for message in sent] == [(known,)] * named
         if named and state.get("holdings") is None:
             assert harness.engine.orders[0].target == name
 
 
-async def test_what_an_engine_says_of_itself_goes_before_its_steward_s_word():
+async def test_announcement_of_engine_supersedes_registration_by_steward():
     harness = StewardHarness(FakeEngine())
     announced = harness.feed.view.find_address(ADDRESS)
     harness.feed.view = TargetView()
     async with harness:
-        while (stated := harness.feed.view.find_address(ADDRESS)) is None:
+        while (registered := harness.feed.view.find_address(ADDRESS)) is None:
             await asyncio.sleep(0.01)
-        assert stated.target == "t9"
-        own = msgspec.structs.replace(announced, target=stated.target)
+        assert registered.target == "t9"
+        own = msgspec.structs.replace(announced, target=registered.target)
         assert harness.feed.view.merge(own, 1.0)
-        assert not harness.feed.view.merge(stated, 2.0)
+        assert not harness.feed.view.merge(registered, 2.0)
 
 
 @pytest.mark.parametrize(
-    ("told", "leaves", "limit"),
+    ("reported", "closed", "limit"),
     [
         ([(0, 2.0)], None, 2.0),
         ([(0, 2.0), (1, 1.5)], None, 1.5),
@@ -365,29 +371,29 @@
         ([(0, 2.0), (1, None)], 0, 0.0),
     ],
 )
-async def test_the_newest_word_of_a_gateway_is_the_limit(told, leaves, limit):
-    """A gateway that has told of a limit ends, and the others send without it."""
+async def test_latest_rate_limit_from_any_gateway_applies(reported, closed, limit):
+    """The limit must hold for other gateways when the one that reported it stops."""
     harness = StewardHarness(FakeEngine())
     steward, links = harness.steward, [PeerLink(), PeerLink()]
     serving = [asyncio.create_task(steward.serve_link(link)) for link in links]
-    for gateway, rate in told:
+    for gateway, rate in reported:
         links[gateway].inbox.put_nowait(RateTold(TargetId("t"), rate))
         links[gateway].inbox.put_nowait(RateTold(TargetId("other"), 9.0))
         while not links[gateway].inbox.empty():
             await asyncio.sleep(0)
-    if leaves is not None:
-        serving[leaves].cancel()
-        await asyncio.gather(serving[leaves], return_exceptions=True)
+    if closed is not None:
+        serving[closed].cancel()
+        await asyncio.gather(serving[closed], return_exceptions=True)
     assert steward.list_gauges()["rate_limit"] == limit
-    staying = next(k for n, k in enumerate(links) if n != leaves)
-    heard = [m.rate for m in staying.sent if isinstance(m, RateTold)]
-    assert (heard[-1] or 0.0) == limit
+    remaining = next(k for n, k in enumerate(links) if n != closed)
+    received = [m.rate for m in remaining.sent if isinstance(m, RateTold)]
+    assert (received[-1] or 0.0) == limit
     for task in serving:
         task.cancel()
     await asyncio.gather(*serving, return_exceptions=True)
 
 
-async def test_another_life_of_the_engine_has_no_limit():
+async def test_restarted_engine_has_no_rate_limit():
     harness = StewardHarness(FakeEngine())
     async with harness:
         harness.gateway.inbox.put_nowait(RateTold(TargetId("t"), 2.0))
@@ -399,8 +405,8 @@
 
 
 @pytest.mark.parametrize(("rate", "given"), [(20.0, True), (0.25, False)])
-async def test_what_a_limit_does_not_let_through_in_time_goes_elsewhere(rate, given):
-    """A request waits in vain at an engine that looks idle since it has a limit."""
+async def test_request_that_rate_limit_delays_too_long_is_refused(rate, given):
+    """A request would wait in vain at an engine that looks idle due to its limit."""
     engine = FakeEngine()
     async with StewardHarness(engine) as harness:
         assert await harness.request_turn(1, "a1")
--- a/tests/steward/test_turns.py
+++ b/tests/steward/test_turns.py
@@ -1,4 +1,4 @@
-"""Requests that wait at a steward for their turn."""
+"""Turns that a steward grants to waiting requests."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class FakeLink:
-    """A gateway's end of a link."""
+    """The end of a link at a gateway."""
 
     def __init__(self) -> None:
         self.sent: list = []
@@ -25,7 +25,7 @@
 
 
 class QueueHarness:
-    """A queue whose window takes one prompt of a thousand tokens at a time."""
+    """A queue whose window admits one prompt of 1000 tokens at a time."""
 
     def __init__(self) -> None:
         self.clock, self.link = SystemClock(), FakeLink()
@@ -54,7 +54,7 @@
 
 
 async def test_prompts_of_several_gateways_are_spread_over_time():
-    """Running answers pause, as each gateway sees only its own prompts."""
+    """Running answers would pause, as each gateway knows only its own prompts."""
     async with QueueHarness() as harness:
         harness.add(1)
         harness.add(2, due=9.0)
@@ -69,7 +69,7 @@
         assert max(harness.delays) > 0
 
 
-async def test_who_gets_no_turn_in_time_is_told_and_no_longer_counted():
+async def test_expired_request_is_refused_and_removed():
     async with QueueHarness() as harness:
         harness.add(1)
         harness.add(2, wait=0.02)
@@ -79,14 +79,14 @@
 
 
 @pytest.mark.parametrize("sent", [0, 5000])
-async def test_prompts_sent_without_a_turn_take_their_share(sent):
+async def test_prompts_sent_without_a_turn_count_against_the_window(sent):
     async with QueueHarness() as harness:
         harness.queue.record_sent(harness.link, sent)
         harness.add(1)
         assert harness.answers == ([] if sent else [(1, True)])
 
 
-async def test_a_gateway_that_is_gone_gets_no_turn():
+async def test_gateway_with_closed_link_gets_no_turn():
     async with QueueHarness() as harness:
         harness.add(1)
         harness.add(2)
@@ -95,22 +95,22 @@
         assert harness.answers == [(1, True)]
 
 
-@pytest.mark.parametrize(("crowd", "learns"), [(False, True), (True, False)])
-async def test_only_prompts_that_were_read_alone_tell_the_speed(crowd, learns):
-    """A quick engine passes for a slow one because prompts were read two at a time."""
+@pytest.mark.parametrize(("concurrent", "measured"), [(False, True), (True, False)])
+async def test_read_rate_is_measured_with_single_prompts_only(concurrent, measured):
+    """A fast engine would seem slow when it reads two prompts at a time."""
     async with QueueHarness() as harness:
         other = FakeLink()
         harness.queue.window.gap = 0.0
         for number in range(1, 41):
             tokens = 100 * (number % 10 + 1)
             harness.queue.record_sent(harness.link, tokens)
-            if crowd:
+            if concurrent:
                 harness.queue.record_sent(other, 1000)
             harness.queue.record_read(harness.link, tokens, 0.03 + tokens / 80_000)
-            if crowd:
+            if concurrent:
                 harness.queue.record_read(other, 1000, 0.03)
         rate = harness.queue.window.speed.rate
-        assert (rate == pytest.approx(80_000, rel=0.05)) == learns
+        assert (rate == pytest.approx(80_000, rel=0.05)) == measured
         harness.queue.record_sent(other, 1000)
         harness.queue.remove_link(other)
         harness.queue.record_read(other, 1000, 0.5)
@@ -118,7 +118,7 @@
 
 
 async def test_requests_wait_for_a_slot_outside_the_engine():
-    """Guards against running answers that more urgent requests push out."""
+    """An engine without a free slot preempts running answers for urgent requests."""
     async with QueueHarness() as harness:
         harness.queue.window.gap = 0.0
         harness.queue.slots.slots = 2
@@ -131,8 +131,8 @@
         assert harness.answers[2:] == [(4, True)]
 
 
-async def test_slots_of_a_gateway_that_is_gone_are_free():
-    """Guards against slots that nobody will ever give back."""
+async def test_closed_link_releases_its_slots():
+    """A gateway that is gone never reports the end of its requests."""
     async with QueueHarness() as harness:
         harness.queue.window.gap = 0.0
         harness.queue.slots.slots = 1
@@ -146,7 +146,7 @@
         assert harness.answers == [(1, True)]
 
 
-async def test_the_report_of_an_engine_frees_slots_whose_ends_were_lost():
+async def test_engine_report_releases_slots_of_lost_request_ends():
     async with QueueHarness() as harness:
         harness.queue.window.gap = 0.0
         harness.queue.slots.slots = 1
@@ -160,8 +160,8 @@
         assert harness.answers == [(1, True)]
 
 
-async def test_turns_keep_to_the_limit_that_the_engine_names():
-    """Requests with and without turns come faster than the engine takes them."""
+async def test_turns_respect_the_rate_limit_of_the_engine():
+    """Requests with and without turns together would exceed the engine's limit."""
     limit = 20.0
     async with QueueHarness() as harness:
         harness.queue.window.gap = 0.0
