--- a/src/ibishead/platform/programs.py
+++ b/src/ibishead/platform/programs.py
@@ -44,7 +44,7 @@
 async def run_gateway(
     settings: PlatformSettings, path: Path, metrics_port: int | None = None
 ) -> None:
-    """Run a gateway until it is told to stop.
+    """Run a gateway until a stop is requested.
 
     :param path: settings file, read again when it changes.
     :param metrics_port: port of the metrics server, None for no metrics.
@@ -64,7 +64,7 @@
 async def run_steward(
     settings: PlatformSettings, path: Path, metrics_port: int | None = None
 ) -> None:
-    """Run a steward for the engine on this host until it is told to stop.
+    """Run a steward for the engine on this host until a stop is requested.
 
     :param path: settings file, read again when it changes.
     :param metrics_port: port of the metrics server, None for no metrics.
@@ -84,7 +84,7 @@
 async def run_registry(
     settings: PlatformSettings, path: Path, metrics_port: int | None = None
 ) -> None:
-    """Run a registry until it is told to stop or its disk fails.
+    """Run a registry until a stop is requested or its disk fails.
 
     :param path: settings file, read again when it changes.
     :param metrics_port: port of the metrics server, None for no metrics.
--- a/src/ibishead/steward/ledger.py
+++ b/src/ibishead/steward/ledger.py
@@ -57,18 +57,19 @@
     def record_report(self, state: EngineState, now: float) -> bool:
         """Record a report.
 
-        Orders sent before a restart are forgotten, since the engine has lost them.
+        Earlier orders are discarded if the engine has restarted or was unreachable.
 
         :param now: monotonic seconds.
-        :returns: whether the engine was unreachable before or has restarted.
+        :returns: whether this is the first report since the engine's start, or since it
+            was unreachable.
         """
         known = self.state
-        restarted = (
+        first_report = (
             known is None
             or known.born != state.born
             or state.sequence < self._reported_sequence
         )
-        if restarted:
+        if first_report:
             self._loading.clear()
             self._unloading.clear()
             self._unknown_loads.clear()
@@ -76,7 +77,7 @@
         self.state, self.report_needed = state, False
         self.sequence = self._reported_sequence = state.sequence
         self._remove_settled(state, now)
-        return restarted
+        return first_report
 
     def record_unreachable(self) -> bool:
         """Record that the engine can't be reached.
