--- a/src/ibishead/platform/programs.py
+++ b/src/ibishead/platform/programs.py
@@ -90,7 +90,7 @@
     :param metrics_port: port of the metrics server, None for no metrics.
     :raises StorageFault: the data folder is damaged, or its disk has failed.
     """
-    from ibishead.platform.doors import make_http_handler
+    from ibishead.platform.httpapi import make_http_handler
     from ibishead.registry.server import Registry
 
     failure: asyncio.Future[None] = asyncio.get_running_loop().create_future()
