--- a/src/ibishead/agent/runner.py
+++ b/src/ibishead/agent/runner.py
@@ -1,7 +1,7 @@
-"""Runs one attempt at the target and owes its answer in frames.
+"""Execution of one attempt at the target, and delivery of its answer in frames.
 
-What raises before the request's bytes are written has not run. From then on only
-the target's own answer ends the doubt.
+A request that fails before its bytes are written has not run. After that, only the
+target's own answer shows whether it has run.
 """
 
 from collections.abc import AsyncIterator
@@ -20,18 +20,19 @@
 
 __all__ = ["RunEnd", "run_attempt"]
 
-#: Largest answer that is held back until it is whole and checked.
-MAX_WHOLE_ANSWER = 16 * 1024 * 1024
+#: Largest answer, in bytes, that is buffered in full so that its model can be checked
+#: before it is delivered.
+MAX_BUFFERED_ANSWER_BYTES = 16 * 1024 * 1024
 
-#: Bytes in which the first event of a stream must come.
-MAX_FIRST_EVENT = 64 * 1024
+#: Maximum size of the first event of a stream, in bytes.
+MAX_FIRST_EVENT_BYTES = 64 * 1024
 
 _MODEL_NOT_FOUND = 404
 _SERVER_ERROR = 500
 
 
 class RunEnd(Enum):
-    """How a run ended, as far as the target shows."""
+    """How a run ended, as far as the target's answer shows."""
 
     COMPLETED = "completed"
     ADAPTER_MISSING = "adapter missing"
@@ -39,7 +40,7 @@
     FAILED = "failed"
 
 
-class _Named(msgspec.Struct):
+class _ModelField(msgspec.Struct):
     model: str = ""
 
 
@@ -50,15 +51,23 @@
     waited: tuple[float, float],
     target: TargetId,
 ) -> RunEnd:
-    """Give the request to the target and owe all of its answer but the end.
-
-    :param boot: in which the adapter is pinned, none for a plain service.
-    :param waited: seconds in the queue, and seconds for the adapter.
-    :raises TargetRestarted: nothing was sent.
-    :raises LinkLost: once ``attempt.sent`` is set, the request may have run.
+    """Send the request to the target and emit all frames of its answer but the last.
+
+    :param attempt: attempt to run.
+    :param client: client of the target.
+    :param boot: boot of the target in which the adapter is pinned, none for a plain
+        service.
+    :param waited: seconds in the queue, and seconds until the adapter was resident.
+    :param target: id of the target, for the head frame.
+    :returns: how the run ended.
+    :raises TargetRestarted: the target is in another boot; nothing was sent.
+    :raises LinkLost: the connection failed; if ``attempt.sent`` is set, the request may
+        have run.
     """
     dispatch = attempt.dispatch
-    async with client.borrow(boot, fresh=not dispatch.idempotent) as connection:
+    async with client.acquire_connection(
+        boot, fresh=not dispatch.idempotent
+    ) as connection:
         headers = (*dispatch.headers, ("x-request-id", dispatch.request))
         attempt.sent = True
         answer = await connection.ask(
@@ -92,8 +101,8 @@
     waited: tuple[float, float],
     target: TargetId,
 ) -> RunEnd:
-    kind = find_header(answer.headers, "content-type") or ""
-    streamed = kind.startswith("text/event-stream")
+    content_type = find_header(answer.headers, "content-type") or ""
+    streamed = content_type.startswith("text/event-stream")
     if streamed:
         attempt.tail = StreamTail()
         first = await _read_first_event(answer)
@@ -101,9 +110,9 @@
     else:
         first = await _read_whole(answer)
         payload = first
-    # The engine names the model that made the answer. An answer of another one
-    # must not reach a caller who asked for this adapter and version.
-    if answer.status == 200 and not _names_adapter(attempt, payload):
+    # The engine names the model that produced the answer. An answer of another model
+    # must not reach a caller who requested this adapter and version.
+    if answer.status == 200 and not _matches_adapter(attempt, payload):
         return RunEnd.WRONG_MODEL
     attempt.emit_head(answer.status, drop_hop_by_hop(answer.headers), target, waited)
     attempt.emit_body(first)
@@ -115,7 +124,7 @@
 async def _relay_rest(attempt: Attempt, chunks: AsyncIterator[bytes]) -> None:
     async for chunk in chunks:
         attempt.emit_body(chunk)
-        await attempt.wait_for_room()
+        await attempt.wait_for_buffer_space()
 
 
 async def _read_first_event(answer: ClientAnswer) -> bytes:
@@ -124,10 +133,10 @@
         first += chunk
         if b"\n\n" in first:
             return first
-        if len(first) > MAX_FIRST_EVENT:
+        if len(first) > MAX_FIRST_EVENT_BYTES:
             break
     raise LinkLost(
-        "the engine's stream began with no event",
+        "the engine's stream has no complete first event",
         "check the engine's log",
         code=ErrorCode.TARGET_FAILED,
     )
@@ -139,20 +148,20 @@
     async for chunk in answer.chunks:
         pieces.append(chunk)
         size += len(chunk)
-        if size > MAX_WHOLE_ANSWER:
+        if size > MAX_BUFFERED_ANSWER_BYTES:
             raise LinkLost(
-                f"the engine's answer exceeds {MAX_WHOLE_ANSWER} bytes",
-                "ask for a stream",
+                f"the engine's answer exceeds {MAX_BUFFERED_ANSWER_BYTES} bytes",
+                "request a stream",
                 code=ErrorCode.TARGET_FAILED,
             )
     return b"".join(pieces)
 
 
-def _names_adapter(attempt: Attempt, payload: bytes) -> bool:
+def _matches_adapter(attempt: Attempt, payload: bytes) -> bool:
     if attempt.adapter is None:
         return True
     try:
-        named = msgspec.json.decode(payload, type=_Named)
+        answer = msgspec.json.decode(payload, type=_ModelField)
     except msgspec.DecodeError:
         return False
-    return named.model == make_lora_name(attempt.adapter)
+    return answer.model == make_lora_name(attempt.adapter)
--- a/src/ibishead/platform/callers.py
+++ b/src/ibishead/platform/callers.py
@@ -58,12 +58,12 @@
             find_header(headers, "last-event-id"),
         )
 
-    def find_id(self, request: WebRequest) -> RequestId | None:
+    def find_request_id(self, request: WebRequest) -> RequestId | None:
         """Return the caller's ID of a request, None if there is none."""
         found = find_header(request.headers, "request-id")
         return RequestId(found) if found is not None else None
 
-    def show_error(
+    def render_error(
         self, error: IbisheadError, request: WebRequest
     ) -> tuple[int, Headers, bytes]:
         """Return status, headers and body of the response for an error.
@@ -81,7 +81,7 @@
         status = 502 if isinstance(error, LinkLost) else error.status
         return status, shown, body
 
-    def is_ready_question(self, request: WebRequest) -> bool:
+    def is_readiness_probe(self, request: WebRequest) -> bool:
         """Return whether a request is the load balancer's readiness check."""
         return request.method == "GET" and request.path == READY_PATH
 
--- a/src/ibishead/platform/httpapi.py
+++ b/src/ibishead/platform/httpapi.py
@@ -13,7 +13,7 @@
     decode_routes,
     decode_version,
 )
-from ibishead.registry.service import ElsewhereError, RegistryService
+from ibishead.registry.service import RedirectError, RegistryService
 from ibishead.web import Exchange, WebRequest, encode_error
 
 __all__ = ["make_http_handler"]
@@ -34,7 +34,7 @@
         request = exchange.request
         try:
             body = await _dispatch(service, request)
-        except ElsewhereError as error:
+        except RedirectError as error:
             location = f"http://{error.address}{request.target}"
             await exchange.respond(307, (("location", location),))
             return
@@ -85,4 +85,4 @@
     if kind == "heartbeat":
         service.announce(decode_heartbeat(target, body))
     else:
-        service.take_leave(TargetId(target), decode_deregistration(body))
+        service.deregister(TargetId(target), decode_deregistration(body))
--- a/src/ibishead/steward/demands.py
+++ b/src/ibishead/steward/demands.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ibishead.decisions.residents import Wish, count_helped
+from ibishead.decisions.residents import AdapterDemand, count_served
 from ibishead.routing.targets import WeightKey
 from ibishead.steward.ledger import OrderLedger
 from ibishead.steward.turns import Waiter
@@ -16,11 +16,15 @@
     version: int
     waiters: list[Waiter] = field(default_factory=list)
 
-    def summarize(self, key: WeightKey, ready_at: float, read_rate: float) -> Wish:
+    def summarize(
+        self, key: WeightKey, ready_at: float, read_rate: float
+    ) -> AdapterDemand:
         # the engine reads the prompt after the load and before the first token
         waiters = [(w.due - w.tokens / read_rate, w.expires_at) for w in self.waiters]
         latest_due = max(due for due, _ in waiters)
-        return Wish(key, self.version, count_helped(waiters, ready_at), latest_due)
+        return AdapterDemand(
+            key, self.version, count_served(waiters, ready_at), latest_due
+        )
 
 
 class AdapterDemands:
@@ -44,7 +48,7 @@
         demand.version = max(demand.version, version)
         demand.waiters.append(waiter)
 
-    def list_demands(self, ready_at: float, read_rate: float) -> list[Wish]:
+    def list_demands(self, ready_at: float, read_rate: float) -> list[AdapterDemand]:
         """Return one entry for each adapter that requests wait for.
 
         :param ready_at: monotonic seconds at which a load ordered now would end.
--- a/src/ibishead/steward/ledger.py
+++ b/src/ibishead/steward/ledger.py
@@ -178,7 +178,7 @@
             if (shown or now - since > UNREPORTED_ORDER_SECONDS) and not in_progress:
                 del self._loading[key]
                 if shown and key.adapter:
-                    self.pace.note(now - since, now)
+                    self.pace.record(now - since, now)
         self._unloading = {k: at for k, at in self._unloading.items() if k in held}
         self._unknown_loads = {
             key: since
--- a/src/ibishead/steward/naming.py
+++ b/src/ibishead/steward/naming.py
@@ -87,10 +87,10 @@
         )
         if self._feed.view.merge(registration, self._clock.monotonic()):
             logger.info("engine registered by its steward", extra={"target": target})
-            self._feed.tell(Statements((registration,)))
+            self._feed.broadcast(Statements((registration,)))
 
     def _is_unknown(self) -> bool:
-        return self._feed.view.find_address(self._address) is None
+        return self._feed.view.find_by_address(self._address) is None
 
 
 def _serves(state: EngineState, spec: EngineSpec) -> bool:
--- a/src/ibishead/steward/steward.py
+++ b/src/ibishead/steward/steward.py
@@ -9,13 +9,17 @@
 
 from ibishead.clock import Clock
 from ibishead.decisions.health import FailureShare
-from ibishead.decisions.modelwait import LOST_WAIT, expect_model, find_source
-from ibishead.decisions.patience import OrderPatience
+from ibishead.decisions.modelwait import (
+    UNREACHABLE_WAIT_SECONDS,
+    estimate_model_wait,
+    find_source,
+)
+from ibishead.decisions.patience import OrderTimeout
 from ibishead.decisions.residents import (
+    AdapterDemand,
     Idle,
     Load,
     Unload,
-    Wish,
     choose_order,
 )
 from ibishead.errors import LinkLost
@@ -117,7 +121,7 @@
         self._published_failures = FailureShare()
         self._ledger = OrderLedger()
         self._namer = EngineNamer(domain, service, address, engine, feed, clock)
-        self._order_timeout = OrderPatience()
+        self._order_timeout = OrderTimeout()
         self._unreachable = False
         self._fencing_number = 0
         self._fence_requested_at = 0.0
@@ -191,7 +195,7 @@
                 self._uses.begin(link, key)
                 self._turns.record_sent(link, tokens)
             case RateTold(target, rate):
-                known = self._feed.view.find_address(self._address)
+                known = self._feed.view.find_by_address(self._address)
                 if known is not None and known.target == target:
                     self._set_rate_limit(rate)
             case PromptRead(tokens, seconds):
@@ -200,7 +204,7 @@
                 if failed is not None:
                     self._record_request_outcome(failed, now)
                 if pause:
-                    self._turns.window.note_pause(pause)
+                    self._turns.window.record_pause(pause)
                 self._turns.record_end(link)
                 if self._uses.end(link, key, now) and self._demands:
                     self._wake.set()
@@ -237,14 +241,14 @@
         self._uses.end(waiter.link, waiter.key, self._clock.monotonic())
 
     def _publish_delay(self, seconds: float) -> None:
-        target = self._feed.view.find_address(self._address)
+        target = self._feed.view.find_by_address(self._address)
         if target is not None:
             self._send_to_gateways(PromptDelay(target.target, round(seconds, 3)))
 
     def _record_request_outcome(self, failed: bool, now: float) -> None:
-        self._failures.note(failed, now)
+        self._failures.record(failed, now)
         share = self._failures.read(now)
-        target = self._feed.view.find_address(self._address)
+        target = self._feed.view.find_by_address(self._address)
         if (
             target is None
             or abs(share - self._published_failures.read(now)) < FAILURE_SHARE_STEP
@@ -269,7 +273,7 @@
             logger.info("engine rate limit changed", extra={"requests_a_second": rate})
             self._rate_limit = rate
             self._turns.set_rate_limit(rate)
-            target = self._feed.view.find_address(self._address)
+            target = self._feed.view.find_by_address(self._address)
             if target is not None:
                 self._send_to_gateways(RateTold(target.target, rate))
 
@@ -348,7 +352,10 @@
         self._turns.refuse_all()
         if self._last_report is not None and self._last_report.holdings:
             lost = msgspec.structs.replace(
-                self._last_report, holdings=(), coming=(), model_wait=LOST_WAIT
+                self._last_report,
+                holdings=(),
+                loading=(),
+                model_wait=UNREACHABLE_WAIT_SECONDS,
             )
             self._send_report(lost)
 
@@ -370,9 +377,9 @@
             return False
         outcome = await self._engine.send_order(order, self._order_timeout.seconds)
         if outcome is OrderOutcome.UNKNOWN:
-            self._order_timeout.note_silence()
+            self._order_timeout.record_timeout()
         else:
-            self._order_timeout.note_answer(self._clock.monotonic() - now)
+            self._order_timeout.record_answer(self._clock.monotonic() - now)
         self._record_order_outcome(order, outcome)
         return outcome in (OrderOutcome.STARTED, OrderOutcome.COMPLETED)
 
@@ -380,7 +387,7 @@
         state, spec = self._ledger.state, self._find_spec()
         if state is None or spec is None or state.busy or now < self._paused_until:
             return None
-        target = self._feed.view.find_address(self._address)
+        target = self._feed.view.find_by_address(self._address)
         if target is None or (state.born and target.born != state.born):
             return None
         # An order whose answer was lost may still be carried out seconds later. Sending
@@ -396,7 +403,7 @@
             ),
             self._list_demands(now),
             self._feed.floors,
-            self._feed.floor_heard,
+            self._feed.floor_received_at,
             self._uses.reuse,
             now,
             self._spread_position,
@@ -410,7 +417,7 @@
             case Unload(key):
                 return self._make_order(False, key, 0, target)
 
-    def _list_demands(self, now: float) -> list[Wish]:
+    def _list_demands(self, now: float) -> list[AdapterDemand]:
         ready_at = now + self._ledger.pace.read(now)
         rate = self._turns.window.speed.rate
         return self._demands.list_demands(ready_at, rate)
@@ -457,7 +464,7 @@
     def _request_fencing_number(self, now: float) -> None:
         if now - self._fence_requested_at < FENCE_RETRY_SECONDS:
             return
-        links = [link for _, link in self._feed.list_log_keepers()]
+        links = [link for _, link in self._feed.list_log_registries()]
         if not links:
             # which registries keep the log is unknown until the first of them answers
             links = [link for link in self._feed.links.values() if not link.closed]
@@ -488,13 +495,16 @@
         if holdings or state is None:
             return 0.0
         source = find_source(self._find_spec(), state.in_memory, state.on_disk)
-        wait = expect_model(
+        wait = estimate_model_wait(
             self._find_spec(), source, self._ledger.model_load_ordered_at, now
         )
         return round(wait, 2)
 
     def _report(self, now: float) -> None:
-        state, target = self._ledger.state, self._feed.view.find_address(self._address)
+        state, target = (
+            self._ledger.state,
+            self._feed.view.find_by_address(self._address),
+        )
         if state is None or target is None:
             return
         loading, holdings = self._ledger.list_loading(), self._ledger.list_holdings()
@@ -516,7 +526,7 @@
         same = before is not None and (
             (before.target, before.born, before.holdings)
             == (report.target, report.born, report.holdings)
-            and (before.coming, before.wished) == (report.coming, report.wished)
+            and (before.loading, before.awaited) == (report.loading, report.awaited)
             and abs(before.model_wait - report.model_wait) < MODEL_WAIT_STEP_SECONDS
         )
         if report == before or (
--- a/src/ibishead/steward/turns.py
+++ b/src/ibishead/steward/turns.py
@@ -138,7 +138,7 @@
             return
         self._unread[link] -= 1
         if seconds and self._single_prompt and not self._unread.total():
-            self.window.speed.note(tokens, seconds)
+            self.window.speed.record(tokens, seconds)
             self._log_read_rate()
 
     def record_end(self, link: Link) -> None:
@@ -152,7 +152,7 @@
 
     def record_report(self, requests: int) -> None:
         """Record how many requests the engine reports, running or queued."""
-        self.slots.note_report(requests)
+        self.slots.record_report(requests)
         self._wake_if_waiting()
 
     def set_rate_limit(self, rate: float | None) -> None:
--- a/tests/onplatform/test_bodies.py
+++ b/tests/onplatform/test_bodies.py
@@ -173,7 +173,7 @@
         "prompt-prefix",
     }
     assert (call.hostname, call.target) == ("nets.example", "/p/x?q=1")
-    assert (call.model, call.adapter, call.patience) == ("m", "a3", 1.5)
+    assert (call.model, call.adapter, call.timeout) == ("m", "a3", 1.5)
     assert [(p.name, p.tokens) for p in call.parts] == [("ab", 3), ("cd", 4)]
 
 
--- a/tests/steward/test_steward.py
+++ b/tests/steward/test_steward.py
@@ -102,7 +102,7 @@
     def find_answer(self, number: int) -> bool | None:
         for message in self.sent:
             if isinstance(message, TurnAnswer) and message.number == number:
-                return message.given
+                return message.granted
         return None
 
 
@@ -336,11 +336,11 @@
     harness = StewardHarness(FreshEngine())
     harness.feed.view = TargetView()
     sent = []
-    harness.feed.tell = sent.append
+    harness.feed.broadcast = sent.append
     async with harness:
         asking = asyncio.create_task(harness.request_turn(1, "a", wait=0.3))
         await asking
-        known = harness.feed.view.find_address(ADDRESS)
+        known = harness.feed.view.find_by_address(ADDRESS)
         assert (known is not None) == named
         assert [message.registrations for message in sent] == [(known,)] * named
         if named and state.get("holdings") is None:
@@ -349,10 +349,10 @@
 
 async def test_announcement_of_engine_supersedes_registration_by_steward():
     harness = StewardHarness(FakeEngine())
-    announced = harness.feed.view.find_address(ADDRESS)
+    announced = harness.feed.view.find_by_address(ADDRESS)
     harness.feed.view = TargetView()
     async with harness:
-        while (registered := harness.feed.view.find_address(ADDRESS)) is None:
+        while (registered := harness.feed.view.find_by_address(ADDRESS)) is None:
             await asyncio.sleep(0.01)
         assert registered.target == "t9"
         own = msgspec.structs.replace(announced, target=registered.target)
