--- a/src/ibishead/control/consensus.py
+++ b/src/ibishead/control/consensus.py
@@ -1,9 +1,9 @@
-"""The replicated log's consensus (Raft) as a pure state machine.
+"""The Raft consensus algorithm of the replicated log, without any I/O.
 
-Messages, ticks and proposals go in; messages and writes come out of `take`. The
-shell puts each `Write` on disk, syncs it and says so with `synced`; what relies on the
-write comes out of the next `take`. All proposals between two calls of `take` go into
-one write and one message a follower.
+The caller feeds in messages, ticks and proposals, and collects messages to send and
+writes to perform with `take`. It syncs each `Write` to disk and reports that with
+`synced`; outputs that depend on the write are returned by the next `take`. All
+proposals between two calls of `take` share one write and one message per follower.
 """
 
 from collections.abc import Callable, Sequence
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Stored:
-    """What a replica finds in its data folder when it starts."""
+    """Persistent state that a replica loads from its data folder at startup."""
 
     term: Term = Term(0)
     vote: ReplicaId | None = None
@@ -49,13 +49,14 @@
 
 
 class Consensus:
-    """One replica's part in the consensus.
+    """The consensus state machine of one replica.
 
-    :param replica: this replica's identity, which lives and dies with its disk.
-    :param stored: what its data folder holds; the state machine holds the snapshot.
+    :param replica: this replica's identity; an emptied disk gets a new one.
+    :param stored: contents of its data folder; the caller has already restored the
+        state machine from the snapshot.
     :param timing: durations in ticks.
-    :param draw: returns a number from 0 up to its argument, less one; it keeps the
-        elections of several replicas apart.
+    :param draw: returns a random integer from 0 to its argument minus one, which
+        randomizes election timeouts so that replicas rarely campaign at once.
     """
 
     def __init__(
@@ -80,21 +81,24 @@
         )
         election.reset_deadline(self._state)
 
-    # What it knows -----------------------------------------------------------
+    # Current state -----------------------------------------------------------
 
     @property
     def term(self) -> Term:
-        """The latest term seen."""
+        """The latest known term."""
         return self._state.term
 
     @property
     def role(self) -> Role:
-        """What this replica does in its term."""
+        """This replica's role in the current term."""
         return self._state.role
 
     @property
     def leader(self) -> ReplicaId | None:
-        """The leader followed, itself included; None when it went silent."""
+        """The current leader, possibly this replica.
+
+        None if none is known, or after an election timeout without contact to it.
+        """
         state = self._state
         silent = state.now - state.contact >= state.timing.election
         if state.role is not Role.LEADER and silent:
@@ -108,24 +112,25 @@
 
     @property
     def applied(self) -> LogIndex:
-        """The highest index given out to be applied."""
+        """The highest index returned for application to the state machine."""
         return self._state.applied
 
     @property
     def configuration(self) -> Configuration:
-        """The latest replica set in the log."""
+        """The latest replica set in the log, committed or not."""
         return self._state.configuration
 
     @property
     def log(self) -> RaftLog:
-        """The log, to be read only."""
+        """The log; callers must not modify it."""
         return self._state.log
 
     def lease(self) -> int:
         """Return the ticks for which the applied state counts as current.
 
-        The state held, no more ticks ago than an election takes less the lease, all
-        that was committed then. It is 0 for a replica cut off from the quorum.
+        The applied state includes everything that was committed at a moment that lies
+        at most the election timeout minus the lease in the past. The lease is 0 for a
+        replica without contact to the quorum.
         """
         state = self._state
         if state.timing.first:
@@ -137,7 +142,7 @@
         return max(0, state.timing.election - replication.quorum_age(state))
 
     def silence(self, replica: ReplicaId) -> int:
-        """Return the ticks since a replica was heard of; 0 unless this one leads."""
+        """Return the ticks since a replica last answered; 0 unless this one leads."""
         state = self._state
         progress = state.progress.get(replica)
         if progress is None:
@@ -145,13 +150,13 @@
         return state.now - max(progress.contact, state.elected)
 
     def is_caught_up(self, replica: ReplicaId) -> bool:
-        """Return whether a learner may become a voter."""
+        """Return whether a learner has caught up and may become a voter."""
         return is_caught_up(self._state, replica)
 
-    # What goes in ------------------------------------------------------------
+    # Inputs ------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Let one unit of time pass."""
+        """Advance the clock by one tick."""
         state = self._state
         state.now += 1
         if state.role is Role.LEADER:
@@ -160,13 +165,13 @@
             election.pre_campaign(state)
 
     def hasten(self) -> None:
-        """Ask for votes now, if no leader has been known since the start."""
+        """Start a pre-vote now if no leader has been known since startup."""
         election.hasten(self._state)
 
     def step(self, sender: ReplicaId, message: PeerMessage) -> None:
-        """Take in a message.
+        """Process a message from a replica.
 
-        :param sender: the identity that the link has established.
+        :param sender: the sender's identity as established by the link.
         """
         state = self._state
         match message:
@@ -184,10 +189,11 @@
                 election.handle_take_over(state, sender, message)
 
     def propose(self, commands: Sequence[bytes]) -> LogIndex | None:
-        """Add commands to the log.
+        """Append commands to the log.
 
-        :returns: the index of the last one, or None when this replica doesn't lead or
-            is handing over; with `term` it names where the command is committed.
+        :returns: the index of the last one, or None if this replica isn't the leader
+            or is transferring leadership. The index and `term` together identify the
+            entry, which is committed if the entry at that index has that term.
         """
         state = self._state
         if state.role is not Role.LEADER or state.successor is not None:
@@ -200,48 +206,56 @@
     def propose_configuration(self, wanted: Configuration) -> LogIndex:
         """Start a change of the replica set.
 
-        :raises Conflict: another change is under way, or the change isn't allowed.
-        :raises Unavailable: this replica doesn't lead, or the voter isn't caught up.
+        :returns: the log index of the change.
+        :raises Conflict: another change is in progress, or the change isn't allowed.
+        :raises Unavailable: this replica isn't the leader, or the new voter hasn't
+            caught up.
         """
         return append_configuration(self._state, wanted)
 
     def read(self, context: int) -> None:
-        """Ask for a linearizable read; `ReadReady` or `ReadRefused` will follow."""
+        """Request a linearizable read, answered by `ReadReady` or `ReadRefused`.
+
+        :param context: identifies the read in the answer.
+        """
         if self._state.role is Role.LEADER:
             replication.begin_read(self._state, context)
         else:
             self._state.outputs.append(ReadRefused(context))
 
     def transfer(self) -> ReplicaId | None:
-        """Hand the leadership to the voter that is furthest along.
+        """Start to transfer leadership to the voter with the most complete log.
 
-        :returns: the successor, or None when no other voter answers.
+        :returns: the successor, or None if no other voter answers.
         """
         state = self._state
         if state.role is not Role.LEADER:
             return None
-        answering = [
+        candidates = [
             (progress.match, replica)
             for replica, progress in state.progress.items()
             if replica in state.configuration.voters
             and progress.contact >= 0
             and state.now - progress.contact < state.timing.election
         ]
-        if not answering:
+        if not candidates:
             return None
-        state.successor = max(answering)[1]
+        state.successor = max(candidates)[1]
         state.successor_deadline = state.now + state.timing.election
         replication.hand_over(state)
         return state.successor
 
     def synced(self, token: int) -> None:
-        """Note that a write and all before it are on the disk."""
+        """Record that a write and all earlier writes are durable."""
         self._state.mark_synced(token)
         if self._state.role is Role.LEADER:
             replication.advance_commit(self._state)
 
     def compact(self, index: LogIndex, data: bytes) -> None:
-        """Let a captured state stand for the entries up to an applied index."""
+        """Replace the entries up to an applied index by a snapshot.
+
+        :param data: the state machine's state as of that index.
+        """
         log = self._state.log
         term = log.term_at(index)
         if index <= log.snapshot.index or index > self.applied or term is None:
@@ -249,10 +263,10 @@
         configuration = log.configuration_at(index)
         self._state.compact(Snapshot(index, term, configuration, data))
 
-    # What comes out ----------------------------------------------------------
+    # Outputs -----------------------------------------------------------------
 
     def take(self) -> list[Output]:
-        """Return what is to be done, in order, and forget it."""
+        """Remove and return the pending outputs, to be performed in order."""
         state = self._state
         self._deliver_own()
         if state.role is Role.LEADER and state.heartbeat_due:
@@ -276,7 +290,7 @@
     ) -> None:
         state = self._state
         if message.term < state.term:
-            # an old leader learns from the term in the answer that it is deposed
+            # the term in the answer tells a former leader that it was deposed
             answer = AppendAnswer(
                 state.term, False, LogIndex(0), 0, message.sent_tick, state.now
             )
@@ -292,7 +306,7 @@
                 replication.handle_install(state, sender, message)
 
     def _deliver_own(self) -> None:
-        """Give the messages to oneself, the own votes, straight back."""
+        """Process the messages that this replica sent to itself, which are votes."""
         state = self._state
         while own := [o for o in state.outputs if _is_for(o, state.replica)]:
             state.outputs = [o for o in state.outputs if not _is_for(o, state.replica)]
--- a/src/ibishead/control/driver.py
+++ b/src/ibishead/control/driver.py
@@ -1,7 +1,7 @@
-"""Drives the consensus of one replica: clock, disk, state machine and links.
+"""Connects a replica's consensus to the clock, disk, state machine and links.
 
-All runs on the loop's one thread. A sync blocks the loop, so everything that is
-proposed while one runs shares the next.
+All code runs on the event loop's thread. A sync blocks the loop, so all proposals that
+arrive during one sync share the next.
 """
 
 import asyncio
@@ -39,17 +39,19 @@
 
 @dataclass(frozen=True)
 class Pace:
-    """How fast a replica works, and when it gives up.
+    """Durations, limits and repair options of a replica.
 
-    :param tick: seconds of one tick of the consensus.
-    :param answer: seconds in which a proposal or a read is answered.
+    :param tick: duration of one tick of the consensus, in seconds.
+    :param timing: durations in ticks, and limits of the log.
+    :param answer: timeout of a proposal or read, in seconds.
     :param repair: seconds of silence after which a voter counts as lost.
-    :param readmit: a voter whose host is back with an emptied disk is replaced at once
-        by that host's new replica, without an operator's word.
-    :param voters: voters that unattended repair keeps up, 0 to leave the number alone.
+    :param readmit: replace a voter at once, without an operator's command, if its host
+        returns with an emptied disk; the host's new replica takes its place.
+    :param voters: number of voters that automatic repair maintains; 0 to leave the
+        number as it is.
     :param snapshot_entries: applied entries between two snapshots.
     :param snapshot_bytes: bytes of applied commands between two snapshots.
-    :param reserve: bytes that must stay free on the disk for changes to be taken.
+    :param reserve: free disk space in bytes below which changes are refused.
     """
 
     tick: float = 0.05
@@ -64,7 +66,7 @@
 
     @property
     def election(self) -> float:
-        """Seconds without contact until an election."""
+        """Election timeout in seconds."""
         return self.timing.election * self.tick
 
 
@@ -76,36 +78,36 @@
         """All other hosts."""
 
     def start(self) -> None:
-        """Begin to dial."""
+        """Start to connect to the other hosts."""
 
     async def stop(self) -> None:
         """Close all links."""
 
     def reaches(self, host: HostId) -> bool:
-        """Return whether a link to the host is up."""
+        """Return whether a link to the host is open."""
 
     def send(self, identity: Identity, to: ReplicaId, message: ReplicaMessage) -> bool:
-        """Send to a replica, and return whether a link leads to its host."""
+        """Send to a replica, and return whether there is an open link to its host."""
 
     def introduce(self, identity: Identity, host: HostId) -> None:
-        """Tell whoever runs on a host who runs here."""
+        """Send this replica's identity to the replica on a host, whichever it is."""
 
 
 class DataFiles(Files, Protocol):
     """A data folder."""
 
     def free_bytes(self) -> int:
-        """Return the room that is left on the disk."""
+        """Return the free space on the disk in bytes."""
 
     def close(self) -> None:
-        """Close all files and let go of the lock."""
+        """Close all files and release the lock."""
 
 
 class LogDriver:
-    """Does what the consensus puts out, and tells it what has happened.
+    """Performs the outputs of a replica's consensus and feeds events into it.
 
-    :param draw: returns a number from 0 up to its argument, less one.
-    :param on_failure: called once, when the disk has failed and nothing goes on.
+    :param draw: returns a random integer from 0 to its argument minus one.
+    :param on_failure: called once, when the disk has failed and the replica stops.
     """
 
     def __init__(
@@ -141,9 +143,9 @@
         self.load(identity)
 
     def load(self, identity: Identity) -> None:
-        """Begin from what the disk holds, under an identity.
+        """Load the stored state, and start the consensus under an identity.
 
-        :raises StorageFault: the folder is damaged.
+        :raises StorageFault: the data folder is damaged.
         """
         self.identity = identity
         self._storage = Storage(self._files, identity)
@@ -154,11 +156,12 @@
             self._restore(stored.snapshot)
 
     def advance(self) -> int:
-        """Let the consensus catch up with the clock, and return the ticks it took.
+        """Advance the consensus to the current time, and return the ticks passed.
 
-        A process that was frozen finds many ticks due. They pass before anything that
-        waited is acted on, so that a leader which has slept learns that it may have
-        been replaced before it answers. More than a few elections make no difference.
+        After a suspension of the process, many ticks are due. They are processed before
+        any pending input, so that a suspended leader finds that it may have been
+        replaced before it answers. Ticks beyond three election timeouts are skipped, as
+        they make no difference.
         """
         due = int((self._clock.monotonic() - self._ticked) / self.pace.tick)
         if due <= 0 or self.failed:
@@ -180,7 +183,7 @@
         return 0.0 if self.failed else max(0.0, lease)
 
     def step(self, sender: ReplicaId, message: PeerMessage) -> None:
-        """Take in a message of another replica's consensus."""
+        """Process a consensus message from another replica."""
         try:
             self.core.step(sender, message)
         except StorageFault as fault:
@@ -188,9 +191,10 @@
         self.schedule_flush()
 
     def has_room(self) -> bool:
-        """Return whether the disk has taken all writes and has room for more.
+        """Return whether no write is blocked by a full disk and there is free space.
 
-        All proposals of one turn share the answer, as they share the write.
+        The result is cached until the next flush: all proposals before it share one
+        write.
         """
         if not self._room:
             self._room = self._files.free_bytes() >= self.pace.reserve
@@ -198,12 +202,12 @@
         return self._room and not self._stuck
 
     def wait_for(self, index: LogIndex, term: Term) -> asyncio.Future[bytes]:
-        """Return the future result of an entry that was proposed just now."""
+        """Return a future for the result of an entry that was just proposed."""
         self.schedule_flush()
         return self.waiters.add_proposal(index, term, self._ticked + self.pace.answer)
 
     def schedule_flush(self) -> None:
-        """Do, at the end of this turn of the loop, what the consensus puts out."""
+        """Perform the outputs of the consensus after the callbacks already queued."""
         if not self._flush_due and not self.failed:
             self._flush_due = True
             asyncio.get_running_loop().call_soon(self._flush)
@@ -246,7 +250,7 @@
                 self._answer_read(context, None)
 
     def _schedule_write(self) -> None:
-        # the links' writers run first, so that followers sync at the same time
+        # let the links' writer tasks run first, so that followers sync concurrently
         if not self._write_due:
             self._write_due = True
             asyncio.get_running_loop().call_soon(self._write)
@@ -259,17 +263,20 @@
                 self.core.synced(self._unwritten.pop(0).token)
         except StorageFault as fault:
             if fault.code is ErrorCode.STORAGE_FULL:
-                # nothing was answered; it is tried again with the next tick
+                # nothing was acknowledged; the write is retried with the next tick
                 self._stuck = True
-                logger.warning("control log not written", extra={"reason": str(fault)})
+                logger.warning(
+                    "disk full, write to the control log will be retried",
+                    extra={"reason": str(fault)},
+                )
             else:
                 self.fail(fault)
                 return
         self.schedule_flush()
 
     def fail(self, fault: StorageFault) -> None:
-        """Stop for good, as nothing is known of the disk any more."""
-        logger.critical("the control log has failed", extra={"reason": str(fault)})
+        """Stop permanently, as the content of the disk is unknown after a fault."""
+        logger.critical("control log storage failed", extra={"reason": str(fault)})
         self.failed = fault
         self.waiters.fail()
         for context in list(self.reads):
@@ -296,8 +303,8 @@
 
     def _take_snapshot(self) -> None:
         applied = self.core.applied
-        many = applied - self._snapshot_index >= self.pace.snapshot_entries
-        if many or self._applied_bytes >= self.pace.snapshot_bytes:
+        due = applied - self._snapshot_index >= self.pace.snapshot_entries
+        if due or self._applied_bytes >= self.pace.snapshot_bytes:
             self.core.compact(applied, self._machine.capture())
             self._snapshot_index = applied
             self._applied_bytes = 0
--- a/src/ibishead/control/election.py
+++ b/src/ibishead/control/election.py
@@ -1,4 +1,4 @@
-"""How a replica becomes leader, and how it stops."""
+"""Leader election: pre-votes, votes, leadership transfer and stepping down."""
 
 from ibishead.control import replication
 from ibishead.control.peers import RequestVote, TakeOver, VoteAnswer
@@ -24,18 +24,19 @@
 ]
 
 
-#: Part of an election's wait after which a pre-vote without a quorum is asked again.
+#: A pre-vote without a quorum is repeated after the election timeout divided by this.
 ASK_AGAIN = 3
 
 
 def reset_deadline(state: RaftState) -> None:
-    """Wait for a leader anew, for a partly random time.
-
-    Failure: all replicas are killed at once, and nothing can be agreed on before an
-    election that waits as long as if a leader had just spoken; or the first one comes
-    before all are linked, and the next one waits that long. So replicas that have known
-    no leader since their start wait for less, and a little longer each time. A leader
-    that serves is heard by the others, who give no vote.
+    """Restart the election timeout, which is partly random.
+
+    Failure: after all replicas were killed at once, nothing can be committed until the
+    first election, which waits a full election timeout although there is no leader; or
+    the first election starts before the replicas are connected, and the next one waits
+    that long. So replicas that have known no leader since startup use a shorter
+    timeout, which grows with each attempt. This doesn't depose a working leader: the
+    replicas in contact with it grant no vote.
     """
     state.contact = state.now
     span = state.timing.election
@@ -45,9 +46,10 @@
 
 
 def become_follower(state: RaftState, term: Term, leader: ReplicaId | None) -> None:
-    """Follow a leader, or wait for one.
+    """Become a follower, and refuse all pending reads.
 
-    :param term: at least one's own; a higher one clears the vote.
+    :param term: at least the current term; a higher one clears the vote.
+    :param leader: the leader of the term, None if it isn't known.
     """
     if term > state.term:
         state.set_term(term, None)
@@ -65,14 +67,14 @@
 
 
 def pre_campaign(state: RaftState) -> None:
-    """Ask whether an election would be won, and change no term yet.
+    """Start a pre-vote: ask whether an election would be won, keeping the term.
 
-    A replica that was cut off would come back with a higher term and depose a leader
-    that serves; asking first lets the others, who hear their leader, say no.
+    Without it, a replica that was partitioned would return with a higher term and
+    depose a working leader. Voters in contact with their leader ignore the pre-vote.
     """
     state.attempts += 1
     reset_deadline(state)
-    # another voter may have heard the leader a little later, and ignores the question
+    # a voter that last heard from the leader slightly later still ignores this request
     wait = max(1, state.timing.election // ASK_AGAIN)
     state.deadline = min(state.deadline, state.now + wait + state.draw(wait))
     state.leader = None
@@ -83,25 +85,26 @@
 
 
 def hasten(state: RaftState) -> None:
-    """Ask for votes before the deadline, where no leader was known since the start.
+    """Start a pre-vote before the deadline if no leader was known since startup.
 
-    Replicas that are started together have no leader whose silence is to be waited for.
-    Asking early is safe: a voter that hears a leader gives no vote, and the answer to
-    the question alone changes no term.
+    Replicas that are started together have no leader whose timeout must pass. An early
+    pre-vote is safe: a voter in contact with a leader grants no vote, and the answer to
+    a pre-vote changes no term.
     """
-    asking = state.role in (Role.CANDIDATE, Role.LEADER)
-    if asking or state.settled or not state.timing.first:
+    campaigning = state.role in (Role.CANDIDATE, Role.LEADER)
+    if campaigning or state.settled or not state.timing.first:
         return
     attempts = state.attempts
     pre_campaign(state)
-    # asking early is no failed attempt, after which the next one waits for longer
+    # an early pre-vote is no failed attempt and must not lengthen the next timeout
     state.attempts = attempts
 
 
 def campaign(state: RaftState, *, transfer: bool = False) -> None:
     """Start an election in a new term.
 
-    :param transfer: the leader asked for it, so voters need not wait for its silence.
+    :param transfer: the leader requested it, so voters grant their votes although they
+        are in contact with the leader.
     """
     reset_deadline(state)
     state.leader = None
@@ -115,7 +118,7 @@
 def handle_request_vote(
     state: RaftState, sender: ReplicaId, request: RequestVote
 ) -> None:
-    """Grant or refuse a vote, or ignore the question while a leader serves."""
+    """Grant or refuse a vote; ignore the request while in contact with a leader."""
     if _hears_leader(state) and not request.transfer:
         return
     if request.pre:
@@ -139,11 +142,13 @@
 
 
 def _gives_way(state: RaftState, rival: ReplicaId, request: RequestVote) -> bool:
-    """Let the rival go first that has the longer log or, of equal ones, the later name.
+    """Abandon the own pre-vote if the rival has precedence, and return whether so.
+
+    The more complete log has precedence or, between equal ones, the greater replica id.
 
-    Failure: two voters ask at the same moment, give each other leave and then vote
-    for themselves, so that nobody is elected. Ticks of voters that were founded
-    together stay together, so that this happens again and again.
+    Failure: two voters start a pre-vote at the same moment, grant it to each other and
+    then vote for themselves, so that no leader is elected. The ticks of voters that
+    were founded together stay in phase, so that this happens repeatedly.
     """
     own = (state.log.last_term, state.log.last_index, state.replica)
     if (request.last_term, request.last_index, rival) < own:
@@ -154,43 +159,43 @@
 
 
 def handle_vote_answer(state: RaftState, sender: ReplicaId, answer: VoteAnswer) -> None:
-    """Count a vote, and go on to the next step of the election with a quorum."""
+    """Count a vote, and proceed with the election once a quorum has granted it."""
     if not answer.granted and answer.term > state.term:
         become_follower(state, answer.term, None)
         return
-    expected = state.term + 1 if answer.pre else state.term
-    asking = Role.PRE_CANDIDATE if answer.pre else Role.CANDIDATE
-    if answer.term != expected or state.role is not asking:
+    expected_term = state.term + 1 if answer.pre else state.term
+    expected_role = Role.PRE_CANDIDATE if answer.pre else Role.CANDIDATE
+    if answer.term != expected_term or state.role is not expected_role:
         return
     state.votes[sender] = answer.granted
     _count_votes(state)
 
 
 def _count_votes(state: RaftState) -> None:
-    """Act on the votes so far; one's own counts once it is synced."""
-    yes = [voter for voter, granted in state.votes.items() if granted]
-    no = [voter for voter, granted in state.votes.items() if not granted]
+    """Evaluate the votes so far; this replica's own vote counts once it is synced."""
+    granting = [voter for voter, granted in state.votes.items() if granted]
+    refusing = [voter for voter, granted in state.votes.items() if not granted]
     voters = state.configuration.voters
-    if has_quorum(voters, yes):
+    if has_quorum(voters, granting):
         if state.role is Role.PRE_CANDIDATE:
             campaign(state)
         else:
             _become_leader(state)
-    elif has_quorum(voters, no):
+    elif has_quorum(voters, refusing):
         become_follower(state, state.term, None)
 
 
 def handle_take_over(state: RaftState, sender: ReplicaId, order: TakeOver) -> None:
-    """Start an election at the leader's own wish."""
+    """Start an election at the leader's request."""
     if order.term == state.term and state.leader == sender:
         campaign(state, transfer=True)
 
 
 def check_quorum(state: RaftState) -> None:
-    """Step down when no quorum has answered for the length of an election.
+    """Step down when no quorum has answered within an election timeout.
 
-    A leader that is cut off would go on taking proposals that can't commit, and its
-    callers would wait for nothing while another leads.
+    A partitioned leader would otherwise continue to accept proposals that can't be
+    committed, and its callers would wait in vain while another replica leads.
     """
     if state.now - state.elected < state.timing.election:
         return
@@ -206,7 +211,7 @@
     state.votes.clear()
     for peer in state.configuration.voters:
         if peer == state.replica:
-            # one's own vote takes the same way as the others': through the sync
+            # the own vote, too, must be synced before it is counted
             send = state.send if pre else state.send_synced
             send(peer, VoteAnswer(term, granted=True, pre=pre))
         elif pre:
@@ -221,8 +226,8 @@
     state.settled = True
     state.votes.clear()
     state.elected = state.now
-    following = state.log.last_index + 1
-    state.progress = {peer: Progress(following) for peer in state.peers}
+    next_index = state.log.last_index + 1
+    state.progress = {peer: Progress(next_index) for peer in state.peers}
     replication.append_empty(state)
 
 
--- a/src/ibishead/control/folder.py
+++ b/src/ibishead/control/folder.py
@@ -1,4 +1,4 @@
-"""One data folder on a disk, locked, with every sync explicit."""
+"""A locked data folder on disk, with explicit syncs."""
 
 import errno
 import fcntl
@@ -15,9 +15,10 @@
 
 
 class Files(Protocol):
-    """The few file operations that storage needs; names are plain file names.
+    """The file operations that `Storage` needs, by names of files in one folder.
 
-    Nothing is durable before its sync: data by `sync`, a file's name by `sync_names`.
+    Nothing is durable before its sync: `sync` for a file's content, `sync_names` for
+    the creation, renaming and removal of files.
     """
 
     def names(self) -> list[str]:
@@ -27,38 +28,38 @@
         """Return a file's content."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Add to the end of a file, which is created where it is missing.
+        """Append to a file, creating it if it is missing.
 
-        :raises StorageFault: code ``STORAGE_FULL``, and the file is as before.
+        :raises StorageFault: code ``STORAGE_FULL``, and the file is unchanged.
         """
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size in bytes."""
+        """Truncate a file to a size in bytes."""
 
     def sync(self, name: str) -> None:
         """Make a file's content durable.
 
-        :raises StorageFault: the disk failed; nothing is known of the content.
+        :raises StorageFault: the disk failed, and the content on it is unknown.
         """
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, in place of another of the new name."""
+        """Rename a file, replacing any file of the new name."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def sync_names(self) -> None:
-        """Make the names of all files durable.
+        """Make created, renamed and removed file names durable.
 
         :raises StorageFault: the disk failed.
         """
 
 
 class DataFolder:
-    """The folder of one control process.
+    """A data folder locked for this process.
 
-    :param path: the folder; it is created where it is missing.
-    :raises StorageFault: another process holds the folder, or it can't be used.
+    :param path: the folder, created if it is missing.
+    :raises StorageFault: another process has locked the folder, or it can't be opened.
     """
 
     def __init__(self, path: Path) -> None:
@@ -73,18 +74,18 @@
         except OSError as error:
             raise _fault(error, f"can't open the data folder {path}") from error
         try:
-            # two processes on one folder would vote twice in a term
+            # two processes on one folder could vote twice in a term
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self._lock)
             raise StorageFault(
-                f"the data folder {path} is in use",
+                f"the data folder {path} is in use by another process",
                 "stop the other ibishead-control, or give each its own data folder",
                 code=ErrorCode.STORAGE_LOCKED,
             ) from error
 
     def names(self) -> list[str]:
-        """Return the names of all files but the lock, sorted."""
+        """Return the names of all files except the lock file, sorted."""
         return sorted(p.name for p in self._path.iterdir() if p.name != _LOCK)
 
     def read(self, name: str) -> bytes:
@@ -95,9 +96,9 @@
             raise _fault(error, f"can't read {self._path / name}") from error
 
     def append(self, name: str, data: bytes) -> None:
-        """Add to the end of a file, which is created where it is missing.
+        """Append to a file, creating it if it is missing.
 
-        :raises StorageFault: code ``STORAGE_FULL``, and the file is as before.
+        :raises StorageFault: code ``STORAGE_FULL``, and the file is unchanged.
         """
         try:
             descriptor = self._descriptor(name)
@@ -109,21 +110,21 @@
             while rest:
                 rest = rest[os.write(descriptor, rest) :]
         except OSError as error:
-            # the part that found room must go, or the next record follows on it
+            # remove the part that was written, or the next record would follow it
             self.truncate(name, size)
             raise _fault(error, f"can't write {self._path / name}") from error
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size in bytes."""
+        """Truncate a file to a size in bytes."""
         try:
             os.ftruncate(self._descriptor(name), size)
         except OSError as error:
-            raise _fault(error, f"can't cut {self._path / name}") from error
+            raise _fault(error, f"can't truncate {self._path / name}") from error
 
     def sync(self, name: str) -> None:
         """Make a file's content durable.
 
-        :raises StorageFault: the disk failed; nothing is known of the content.
+        :raises StorageFault: the disk failed, and the content on it is unknown.
         """
         try:
             os.fsync(self._descriptor(name))
@@ -131,7 +132,7 @@
             raise _sync_fault(error, self._path / name) from error
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, in place of another of the new name."""
+        """Rename a file, replacing any file of the new name."""
         self._forget(old)
         self._forget(new)
         try:
@@ -148,7 +149,7 @@
             raise _fault(error, f"can't remove {self._path / name}") from error
 
     def sync_names(self) -> None:
-        """Make the names of all files durable.
+        """Make created, renamed and removed file names durable.
 
         :raises StorageFault: the disk failed.
         """
@@ -158,12 +159,12 @@
             raise _sync_fault(error, self._path) from error
 
     def free_bytes(self) -> int:
-        """Return the room that is left on the disk."""
+        """Return the free space on the disk in bytes."""
         found = os.statvfs(self._path)
         return found.f_bavail * found.f_frsize
 
     def close(self) -> None:
-        """Close all files and let go of the lock."""
+        """Close all files and release the lock."""
         for name in list(self._open):
             self._forget(name)
         if self._lock >= 0:
@@ -191,11 +192,11 @@
 
 
 def _sync_fault(error: OSError, path: Path) -> StorageFault:
-    # after a failed sync the kernel may call the lost pages clean, so that a second
-    # sync would succeed without having written them; this code is never retried
+    # after a failed sync the kernel may mark the lost pages as clean, and a second sync
+    # would succeed without writing them; so this error code must never be retried
     return StorageFault(
-        f"syncing {path} failed: {error}",
-        "check the disk, then start this replica again or replace it",
+        f"can't sync {path}: {error}",
+        "check the disk, then restart this replica or replace it",
     )
 
 
@@ -203,9 +204,9 @@
     if error.errno in _FULL:
         return StorageFault(
             f"{problem}: the disk is full",
-            "free some room on it; nothing that was accepted is lost",
+            "free some space on it; nothing that was accepted is lost",
             code=ErrorCode.STORAGE_FULL,
         )
     return StorageFault(
-        f"{problem}: {error}", "check the disk and the folder's owner and rights"
+        f"{problem}: {error}", "check the disk and the folder's owner and permissions"
     )
--- a/src/ibishead/control/force.py
+++ b/src/ibishead/control/force.py
@@ -1,7 +1,7 @@
-"""Whether an accepted change is in force at every holder of documents.
+"""Checks whether an accepted change is in force at every holder of documents.
 
-A change is in force once no holder acts on what was before: every holder with a
-live lease has applied it, at whatever replica it is linked.
+A change is in force once no holder uses the previous state any more: every holder with
+a valid lease has applied it, whichever replica it is linked to.
 """
 
 from collections import deque
@@ -15,20 +15,21 @@
 
 __all__ = ["ForceTracker", "SURE_LIMIT"]
 
-#: Seconds for which a replica that has lost its leader may still vouch for its
-#: state.
+#: Longest lease in seconds of a replica that has lost its leader, for which its state
+#: still counts as current.
 REPLICA_LEASE = 2.0
 
-#: Seconds after which no holder can have a lease from a replica that hasn't applied
-#: a change: the replica's own lease ends first, then those that it gave.
+#: Seconds after which no holder can have a lease from a replica that hasn't applied a
+#: change: first the replica's own lease ends, then those that it granted.
 SURE_LIMIT = REPLICA_LEASE + LEASE
 
-#: Changes whose moment is remembered; older ones were applied before the oldest.
+#: Number of changes whose time of application is stored; older ones were applied before
+#: the oldest of these.
 MOMENTS_KEPT = 1024
 
 
 class ForceTracker:
-    """Asks all replicas for holders that a change hasn't reached."""
+    """Finds the holders, at all replicas, that haven't applied a change."""
 
     def __init__(
         self,
@@ -46,20 +47,20 @@
         self._relay = relay
         self._clock = clock
         self._members: dict[ReplicaId, float] = {}
-        # What was applied before this process began is known to it from now on
+        # changes applied before this process started count from now on
         self._moments = deque([(LogIndex(0), clock.monotonic())], MOMENTS_KEPT)
 
     def note_change(self) -> None:
-        """Remember when this replica applied its newest change."""
+        """Record the time at which this replica applied its latest change."""
         self._moments.append((self._state.changed, self._clock.monotonic()))
 
     def note_replicas(self) -> None:
-        """Remember who is in the replica set now, to be called every round."""
+        """Record the current members of the replica set; to be called every round."""
         now = self._clock.monotonic()
         replicas = self._replica.replicas()
         self._members |= dict.fromkeys((*replicas.voters, *replicas.learners), now)
-        # Failure: a replica is taken out of the set while its holders still have
-        # leases from it. It is asked until none of these can be left.
+        # Failure: a replica is removed from the set while holders still have leases
+        # from it. It is asked until the last of these must have ended.
         self._members = {
             replica: seen
             for replica, seen in self._members.items()
@@ -67,7 +68,12 @@
         }
 
     async def find_waiting(self, index: LogIndex) -> list[HostId]:
-        """Return the holders, or replicas, that the change is not known to be at."""
+        """Return the holders that may not have applied a change.
+
+        A replica that doesn't answer is listed by its host, in place of its holders.
+
+        :param index: log index of the change.
+        """
         waiting = set(self._publisher.list_waiting(index))
         self.note_replicas()
         for replica in list(self._members):
@@ -79,15 +85,15 @@
         answer = await self._relay.ask_holders(replica, index)
         if answer is not None and (answer.waiting or answer.applied >= index):
             return set(answer.waiting)
-        # Failure: a replica is cut off and its holders act on the old document, each
-        # until its lease ends. Nobody can ask them, but none lasts beyond the limit.
+        # Failure: a replica is unreachable and its holders use the old document, each
+        # until its lease ends. They can't be asked, but no lease outlasts the limit.
         if self._clock.monotonic() >= self._find_moment(index) + SURE_LIMIT:
             return set()
         known = self._state.replicas.get(replica)
         return {known.host if known is not None else HostId(replica)}
 
     def _find_moment(self, index: LogIndex) -> float:
-        for changed, moment in self._moments:
+        for changed, applied_at in self._moments:
             if changed >= index:
-                return moment
+                return applied_at
         return self._moments[-1][1]
--- a/src/ibishead/control/founding.py
+++ b/src/ibishead/control/founding.py
@@ -1,4 +1,4 @@
-"""How replicas with empty folders become a cluster, or wait to be taken into one."""
+"""How replicas with empty data folders found a cluster, or join an existing one."""
 
 from collections.abc import Callable, Iterable
 
@@ -11,9 +11,10 @@
 
 
 class Acquaintance(msgspec.Struct, frozen=True):
-    """What another host has said of itself.
+    """The latest introduction of the replica on another host.
 
-    :param heard: monotonic seconds.
+    :param cluster: its cluster; empty if it has not joined one.
+    :param heard: monotonic time in seconds at which the introduction arrived.
     """
 
     replica: ReplicaId
@@ -22,10 +23,11 @@
 
 
 class Founding:
-    """Decides when a new replica joins, and as what.
+    """Decides when a new replica founds or joins a cluster.
 
-    :param first_hosts: hosts of the first voters, from the settings.
-    :param draw_name: returns text that no two calls anywhere return alike.
+    :param first_hosts: hosts of the initial voters, from the settings.
+    :param draw_name: returns a globally unique string on each call.
+    :ivar known: latest introduction from each host.
     """
 
     def __init__(
@@ -36,23 +38,26 @@
         self.known: dict[HostId, Acquaintance] = {}
 
     def note(self, replica: ReplicaId, cluster: str, now: float) -> None:
-        """Remember who runs on a host."""
+        """Record the introduction of a replica.
+
+        :param now: monotonic time in seconds.
+        """
         host = replica_host(replica)
         self.known[host] = Acquaintance(replica, cluster, now)
 
     def name_founders(self, hosts: Iterable[HostId]) -> None:
-        """Let these hosts found the cluster, the first of them as the one that does.
+        """Set the hosts of the initial voters, of which the first founds the cluster.
 
-        For hosts that learn of each other only once they run.
+        This serves hosts that discover each other only at run time.
         """
         self._first_hosts = list(hosts)
 
     def found(self, own: Identity) -> Identity | None:
-        """Return the identity with which to found a cluster, if that is due.
+        """Return the identity with which to found a cluster, None if it must not.
 
-        Only the first of the first hosts founds, and only while all of them are new:
-        a replica that lost its disk finds the others in a cluster, and mustn't start
-        a second one beside it.
+        Only the first of the initial hosts founds one, and only while none of them has
+        joined any: a replica that lost its disk finds the others in a cluster and must
+        not found a second one.
         """
         host = replica_host(own.replica)
         if own.cluster or not self._first_hosts or host != self._first_hosts[0]:
@@ -66,10 +71,10 @@
     def join(
         self, own: Identity, cluster: str, founders: tuple[ReplicaId, ...]
     ) -> Identity | None:
-        """Return the identity with which to join a founder's cluster, if it is due.
+        """Return the identity with which to join a founder's cluster, None if not due.
 
-        A cluster that was founded without this replica takes it in by a change of its
-        replica set, not by an introduction.
+        An introduction is sufficient only for replicas among the founders. A cluster
+        that was founded without this replica adds it by a change of its replica set.
         """
         if own.cluster or not cluster or own.replica not in founders:
             return None
--- a/src/ibishead/control/identity.py
+++ b/src/ibishead/control/identity.py
@@ -1,4 +1,4 @@
-"""Who a replica is; the answer lives and dies with its data folder."""
+"""A replica's identity, which is stored in its data folder and lost with it."""
 
 from collections.abc import Callable
 
@@ -26,10 +26,11 @@
 
 
 class Identity(msgspec.Struct, frozen=True, array_like=True):
-    """Who a replica is and which cluster it has joined.
+    """The name of a replica and the cluster that it has joined.
 
-    :param cluster: drawn at the founding; empty until the replica is part of one.
-    :param founders: the first voters, where this replica is one of them.
+    :param replica: host and a random suffix, joined by a dot.
+    :param cluster: random name given at the founding; empty until the replica joins.
+    :param founders: the initial voters, if this replica is one of them.
     """
 
     replica: ReplicaId
@@ -38,14 +39,15 @@
 
 
 def load_identity(files: Files, host: HostId, draw_name: Callable[[], str]) -> Identity:
-    """Return the identity in a folder, or give an empty folder a new one.
+    """Return the identity stored in a folder; an empty folder gets a new one.
 
-    A replica that lost its disk has forgotten its votes and what it had acknowledged.
-    Under its old name it would vote again in the same term and elect a leader that
-    lacks accepted changes; under a new one it counts for nothing until it is taken in.
+    A replica that lost its disk no longer knows its votes and the entries that it
+    acknowledged. Under its old name it could vote twice in a term and elect a leader
+    that lacks accepted changes. Under a new name it has no vote until it is added to
+    the replica set.
 
-    :param draw_name: returns text that no two calls anywhere return alike.
-    :raises StorageFault: the identity is damaged, gone or of another host.
+    :param draw_name: returns a globally unique string on each call.
+    :raises StorageFault: the identity is damaged, missing or that of another host.
     """
     for name in files.names():
         if name.endswith(_UNFINISHED):
@@ -53,7 +55,7 @@
     names = files.names()
     if _FILE not in names:
         if names:
-            raise StorageFault("the data folder has lost its identity", _REPLACE)
+            raise StorageFault("the data folder lost its identity file", _REPLACE)
         identity = Identity(ReplicaId(f"{host}.{draw_name()}"))
         save_identity(files, identity)
         return identity
@@ -61,13 +63,13 @@
     if replica_host(found.replica) != host:
         raise StorageFault(
             f"the data folder belongs to host {replica_host(found.replica)}",
-            f"start it there, or give {host} an empty folder",
+            f"start the replica on that host, or give {host} an empty data folder",
         )
     return found
 
 
 def save_identity(files: Files, identity: Identity) -> None:
-    """Put an identity on the disk, durably."""
+    """Store an identity durably."""
     write_whole(files, _FILE, msgspec.msgpack.encode(identity))
 
 
@@ -77,18 +79,18 @@
 
 
 def write_whole(files: Files, name: str, payload: bytes) -> None:
-    """Put a whole file in place so that a crash leaves the old one or the new one."""
-    unfinished = name + _UNFINISHED
-    if unfinished in files.names():
-        files.remove(unfinished)
-    files.append(unfinished, frame(payload))
-    files.sync(unfinished)
-    files.rename(unfinished, name)
+    """Replace a file atomically: a crash leaves either the old or the new content."""
+    temporary = name + _UNFINISHED
+    if temporary in files.names():
+        files.remove(temporary)
+    files.append(temporary, frame(payload))
+    files.sync(temporary)
+    files.rename(temporary, name)
     files.sync_names()
 
 
 def read_whole(files: Files, name: str) -> bytes:
-    """Return the payload of a file that `write_whole` has put in place.
+    """Return the payload of a file written by `write_whole`.
 
     :raises StorageFault: the file is damaged.
     """
--- a/src/ibishead/control/liveness.py
+++ b/src/ibishead/control/liveness.py
@@ -1,7 +1,7 @@
-"""Which targets nobody watches any more.
+"""Detection of targets that no replica monitors any more.
 
-A replica watches the targets whose agents are linked to it; the leader also those
-of replicas that it has lost. Pure: the caller says what is watched.
+A replica monitors the targets whose agents are linked to it; the leader is also
+responsible for those of unreachable replicas. The caller decides which are monitored.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,9 +13,9 @@
 
 __all__ = ["REATTACH_GRACE", "OrphanWatch"]
 
-#: Seconds that a target may be watched by nobody before it is retired: time enough
-#: for its agent to dial another replica. With the silence after which a link is
-#: given up, a dead target is gone in under 5 s.
+#: Seconds without a monitoring replica after which a target is retired, long enough for
+#: its agent to connect to another replica. Together with the silence after which a link
+#: is closed, a dead target is retired within 5 s.
 REATTACH_GRACE = 2.5
 
 
@@ -26,7 +26,7 @@
 
 
 class OrphanWatch:
-    """Remembers since when targets have been without a watch."""
+    """Tracks since when targets have been without a monitoring replica."""
 
     def __init__(self) -> None:
         self._orphans: dict[TargetId, _Orphan] = {}
@@ -37,12 +37,13 @@
         is_watched: Callable[[Member], bool],
         now: float,
     ) -> list[RetireTarget]:
-        """Return the commands that are due; to be called a few times a second.
+        """Return the retirements that are due; to be called a few times a second.
 
-        A target that attaches anew counts from then, and the commands carry the
-        attachment that they mean.
+        A new attachment restarts the grace period. The commands carry the attachment
+        that they refer to.
 
-        :param now: monotonic seconds.
+        :param is_watched: returns whether a replica monitors the target.
+        :param now: monotonic time in seconds.
         """
         found: dict[TargetId, _Orphan] = {}
         due: list[RetireTarget] = []
--- a/src/ibishead/control/membership.py
+++ b/src/ibishead/control/membership.py
@@ -1,7 +1,7 @@
-"""Registered targets and their incarnations, as replicated state.
+"""Replicated state of the registered targets and their incarnations.
 
-An incarnation is the log index of its registration, so it only rises. A target is
-attached to the replica that its agent is linked to; that replica watches it.
+An incarnation is the log index of its registration, so incarnations increase. A target
+is attached to the replica that its agent is linked to, and this replica monitors it.
 """
 
 import msgspec
@@ -20,14 +20,15 @@
 
 __all__ = ["Member", "SavedTargets", "TargetTable"]
 
-#: Nonces remembered for each target. A registration is delayed by seconds at most,
-#: in which no agent starts this often.
+#: Number of superseded nonces stored per target. A registration is delayed by seconds
+#: at most, and no agent restarts this often within that time.
 NONCES_KEPT = 16
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """A live target with the replica that watches it.
+    """A live target with the replica that monitors it.
 
+    :param nonce: identifies the agent process that registered the target.
     :param attachment: log index at which the agent last attached.
     """
 
@@ -38,9 +39,10 @@
 
 
 class SavedTargets(msgspec.Struct, frozen=True, array_like=True):
-    """The table as a snapshot holds it.
+    """The target table, as stored in a snapshot.
 
-    :param superseded: nonces of agents that a newer one has replaced, oldest first.
+    :param last_nonces: nonce of the latest registration of each target.
+    :param superseded: nonces of agents that were replaced by a newer one, oldest first.
     """
 
     members: tuple[Member, ...] = ()
@@ -49,7 +51,7 @@
 
 
 class TargetTable:
-    """Live targets by name."""
+    """The live targets, by name."""
 
     def __init__(self, saved: SavedTargets | None = None) -> None:
         saved = saved or SavedTargets()
@@ -66,7 +68,7 @@
         )
 
     def is_live(self, target: TargetId, incarnation: Incarnation) -> bool:
-        """Return whether this incarnation of the target has not ended."""
+        """Return whether this incarnation of the target is current."""
         member = self.members.get(target)
         return member is not None and member.record.incarnation == incarnation
 
@@ -78,19 +80,19 @@
     def register(
         self, index: LogIndex, command: RegisterTarget
     ) -> Registered | Rejected:
-        """Give a new nonce a new incarnation, a known one the number it has.
+        """Register a target; a repeated nonce keeps its incarnation.
 
-        A nonce whose incarnation ended by silence gets a new one.
+        A nonce gets a new incarnation if its former one was retired.
         """
         ask = command.ask
-        # Failure: an old agent's ask, delayed on its way, comes after its successor
-        # has registered. Taken, it would end the successor in favour of a process
-        # that is gone.
+        # Failure: the delayed registration of an old agent arrives after that of its
+        # successor. Accepting it would end the successor's incarnation in favour of a
+        # process that has exited.
         if ask.nonce in self._superseded.get(ask.target, ()):
             return Rejected(
                 ErrorCode.STALE_INCARNATION,
                 f"a newer agent has registered target {ask.target}",
-                "stop this agent, or restart it to take the target over",
+                "stop this agent, or restart it to take over the target",
             )
         member = self.members.get(ask.target)
         if member is not None and member.nonce == ask.nonce:
@@ -102,13 +104,13 @@
         return Registered(record.incarnation, index)
 
     def attach(self, index: LogIndex, command: AttachTarget) -> Registered | Rejected:
-        """Move a live incarnation under the watch of another replica."""
+        """Attach a live incarnation to another replica."""
         member = self.members.get(command.target)
         if member is None or member.record.incarnation != command.incarnation:
             return Rejected(
                 ErrorCode.STALE_INCARNATION,
                 f"incarnation {command.incarnation} of {command.target} has ended",
-                "register anew",
+                "register the target again",
             )
         self.members[command.target] = msgspec.structs.replace(
             member, replica=command.replica, attachment=index
@@ -116,27 +118,27 @@
         return Registered(command.incarnation, index)
 
     def retire(self, index: LogIndex, command: RetireTarget) -> Done | Rejected:
-        """End an incarnation that its replica has lost sight of."""
+        """End an incarnation whose agent is no longer linked to any replica."""
         member = self.members.get(command.target)
-        # Failure: an agent whose link broke attaches elsewhere while its old replica
-        # is about to retire it. The attachment number tells that it came back.
+        # Failure: an agent that lost its link attaches to another replica while its
+        # former replica is about to retire it. The newer attachment reveals that.
         if member is None or member.attachment != command.attachment:
             return Rejected(
                 ErrorCode.STALE_INCARNATION,
-                f"target {command.target} has attached anew or ended before",
-                "nothing is to be done",
+                f"target {command.target} has attached again or was already retired",
+                "no action is needed",
             )
         del self.members[command.target]
         return Done(index)
 
     def drain(self, index: LogIndex, target: TargetId) -> Done | Rejected:
-        """Mark a live target as leaving."""
+        """Mark a live target as draining."""
         member = self.members.get(target)
         if member is None:
             return Rejected(
                 ErrorCode.UNKNOWN_TARGET,
                 f"no target {target} is registered",
-                "see the targets that are",
+                "list the registered targets",
             )
         record = msgspec.structs.replace(member.record, draining=True)
         self.members[target] = msgspec.structs.replace(member, record=record)
--- a/src/ibishead/control/peering.py
+++ b/src/ibishead/control/peering.py
@@ -1,7 +1,7 @@
-"""Links from one replica to the others, each way its own.
+"""Links from one replica to the others, one for each direction.
 
-A replica dials every other host that it knows and only sends on these links; what
-it receives comes over the links that the others have dialled to its link server.
+A replica dials every other known host and only sends on these links. It receives
+messages on the links that the others have dialled to its link server.
 """
 
 import asyncio
@@ -43,35 +43,39 @@
 
 logger = logging.getLogger(__name__)
 
-#: Most bytes in one frame, so that heartbeats don't wait behind a whole snapshot.
+#: Maximum size of one frame in bytes, so that heartbeats don't queue behind a whole
+#: snapshot.
 PART_BYTES = 1024 * 1024
 
-#: Seconds between tries to reach a replica.
+#: Seconds between attempts to connect to a replica.
 REDIAL_INTERVAL = 0.2
 
-#: Most bytes of a message that arrives in parts.
+#: Maximum size in bytes of a message that arrives in parts.
 MAX_MESSAGE = 1024 * 1024 * 1024
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of the messages that the consensus itself doesn't know."""
+    """Base class of the messages that the consensus itself doesn't process."""
 
 
 class Introduce(_Message, frozen=True):
-    """Tells another host who runs here; `PeerFrame` carries name and cluster."""
+    """Announces this replica to another host; `PeerFrame` holds name and cluster."""
 
     founders: tuple[ReplicaId, ...] = ()
 
 
 class Forward(_Message, frozen=True):
-    """Asks the leader to propose a command."""
+    """Asks the leader to propose a command.
+
+    :param number: identifies the request in its answer, here and in all requests.
+    """
 
     number: int
     command: bytes
 
 
 class Forwarded(_Message, frozen=True):
-    """The command was committed at ``index``, with this result."""
+    """Answer to `Forward`: the command was committed at ``index``."""
 
     number: int
     index: LogIndex
@@ -79,13 +83,13 @@
 
 
 class AskRead(_Message, frozen=True):
-    """Asks the leader how far a linearizable read must see."""
+    """Asks the leader for the index that a linearizable read must have applied."""
 
     number: int
 
 
 class ReadAnswer(_Message, frozen=True):
-    """All that was accepted before the ask stands at ``index`` or before."""
+    """Answer to `AskRead`: everything accepted before it is at ``index`` or below."""
 
     number: int
     index: LogIndex
@@ -100,14 +104,14 @@
 
 
 class Replaced(_Message, frozen=True):
-    """The replica was replaced by this one."""
+    """Answer to `AskReplace`: the lost replica was replaced by this one."""
 
     number: int
     replica: ReplicaId
 
 
 class Refuse(_Message, frozen=True):
-    """The ask of that number was not served."""
+    """The request of that number was refused or has failed."""
 
     number: int
     code: ErrorCode
@@ -134,10 +138,11 @@
 
 
 class PeerLinks:
-    """Keeps a link to every other host that it is told of.
+    """Maintains a link to every other known host.
 
-    :param hosts: where each host's link server listens, this one's left out.
-    :param pace: heartbeats of the links; the links' own where left out.
+    :param hosts: addresses of the other hosts' link servers.
+    :param hello: sent when a link is opened.
+    :param pace: heartbeat timing of the links; None for the default of `dial`.
     """
 
     def __init__(
@@ -159,17 +164,17 @@
 
     @property
     def hosts(self) -> list[HostId]:
-        """All other hosts, linked or not."""
+        """All other hosts, connected or not."""
         return list(self._hosts)
 
     def start(self) -> None:
-        """Begin to dial."""
+        """Start to connect to all other hosts."""
         self._started = True
         for host in self._hosts:
             self._dial(host)
 
     def add_host(self, host: HostId, endpoint: Endpoint) -> None:
-        """Dial a further host, or a known one at another address."""
+        """Connect to another host, or to a known one at a new address."""
         if self._hosts.get(host) == endpoint:
             return
         self._hosts[host] = endpoint
@@ -184,21 +189,21 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _dial(self, host: HostId) -> None:
-        if (former := self._tasks.get(host)) is not None:
-            former.cancel()
+        if (previous := self._tasks.get(host)) is not None:
+            previous.cancel()
         self._tasks[host] = asyncio.create_task(self._keep(host))
 
     def reaches(self, host: HostId) -> bool:
-        """Return whether a link to the host is up."""
+        """Return whether a link to the host is open."""
         link = self._links.get(host)
         return link is not None and not link.closed
 
     def send(self, identity: Identity, to: ReplicaId, message: ReplicaMessage) -> bool:
-        """Send to a replica, and return whether a link leads to its host."""
+        """Send to a replica, and return whether there is an open link to its host."""
         return self._send(identity, replica_host(to), to, message)
 
     def introduce(self, identity: Identity, host: HostId) -> None:
-        """Tell whoever runs on a host who runs here."""
+        """Send this replica's identity to the replica on a host, whichever it is."""
         message = Introduce(identity.founders)
         self._send(identity, host, ReplicaId(""), message)
 
@@ -215,10 +220,10 @@
         data = msgspec.msgpack.encode(message)
         starts = range(0, max(1, len(data)), PART_BYTES)
         for part, start in enumerate(starts):
-            piece = data[start : start + PART_BYTES]
+            chunk = data[start : start + PART_BYTES]
             last = start == starts[-1]
             sender = identity.replica
-            link.send(PeerFrame(identity.cluster, sender, to, piece, part, last))
+            link.send(PeerFrame(identity.cluster, sender, to, chunk, part, last))
         return True
 
     async def _keep(self, host: HostId) -> None:
@@ -228,7 +233,9 @@
                     self._hosts[host], self._hello, self._clock, self._pace, self._tls
                 )
             except LinkLost as error:
-                logger.debug("replica not reached", extra={"reason": error.message})
+                logger.debug(
+                    "can't connect to replica", extra={"reason": error.message}
+                )
             else:
                 await self._hold(host, link)
             await asyncio.sleep(REDIAL_INTERVAL)
@@ -236,26 +243,27 @@
     async def _hold(self, host: HostId, link: Link) -> None:
         self._links[host] = link
         try:
-            # the other side answers only heartbeats here; reading sees the link end
+            # the peer sends only heartbeats here; reading detects the end of the link
             async for _ in link.receive():
                 pass
         finally:
-            # a link to the host's next address may stand here already
+            # a link to a new address of the host may have replaced this one already
             if self._links.get(host) is link:
                 del self._links[host]
             link.end()
 
 
 class FrameReader:
-    """Puts messages together from their parts."""
+    """Assembles messages from their parts."""
 
     def __init__(self) -> None:
         self._parts: dict[ReplicaId, list[bytes]] = {}
 
     def read(self, frame: PeerFrame) -> ReplicaMessage | None:
-        """Return the message that a frame completes, if it does.
+        """Return the message that a frame completes, None if it completes none.
 
-        Parts of a message whose link broke are dropped with the next message.
+        Parts of a message that was interrupted by the loss of its link are discarded
+        with the start of the next message.
         """
         if frame.part == 0:
             self._parts[frame.sender] = []
@@ -269,5 +277,7 @@
         try:
             return msgspec.msgpack.decode(b"".join(parts), type=ReplicaMessage)
         except msgspec.DecodeError as error:
-            logger.warning("bad message of a replica", extra={"reason": str(error)})
+            logger.warning(
+                "can't decode message from replica", extra={"reason": str(error)}
+            )
             return None
--- a/src/ibishead/control/peers.py
+++ b/src/ibishead/control/peers.py
@@ -1,7 +1,7 @@
-"""Messages between the replicas of the control log.
+"""Consensus messages between the replicas of the control log.
 
-They travel like those of `ibishead.messages`. Ticks are counts of the sender's own
-clock and are only ever compared by the replica that counted them.
+They are encoded like those of `ibishead.messages`. Tick numbers are specific to the
+replica that counted them, and only that replica compares them.
 """
 
 from enum import Enum
@@ -27,29 +27,29 @@
 
 
 class EntryKind(Enum):
-    """What an entry of the log holds."""
+    """Kind of a log entry."""
 
-    #: Bytes for the state machine.
+    #: A command for the state machine.
     COMMAND = "command"
     #: A new replica set.
     CONFIGURATION = "configuration"
-    #: Nothing; a new leader commits its predecessors' entries behind it.
+    #: No data; a new leader appends it to commit its predecessors' entries.
     EMPTY = "empty"
 
 
 class _Struct(msgspec.Struct, frozen=True, array_like=True):
-    """Base of the parts of messages."""
+    """Base class of the parts of messages."""
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all messages: immutable, compared by value."""
+    """Base class of all messages: immutable, compared by value."""
 
 
 class Configuration(_Struct, frozen=True):
-    """The replica set as the log holds it.
+    """The replica set, as stored in the log.
 
     :param voters: replicas that count for the quorum, sorted.
-    :param learners: replicas that get the log and don't count, sorted.
+    :param learners: replicas that receive the log without a vote, sorted.
     """
 
     voters: tuple[ReplicaId, ...] = ()
@@ -57,7 +57,7 @@
 
 
 class Entry(_Struct, frozen=True):
-    """One entry of the log."""
+    """An entry of the log."""
 
     index: LogIndex
     term: Term
@@ -66,7 +66,11 @@
 
 
 class Snapshot(_Struct, frozen=True):
-    """The state as of ``index``, which stands for all entries up to there."""
+    """The state machine's state as of ``index``, replacing all entries up to it.
+
+    :param term: term of the entry at ``index``.
+    :param configuration: the replica set as of ``index``.
+    """
 
     index: LogIndex
     term: Term
@@ -75,11 +79,13 @@
 
 
 class RequestVote(_Message, frozen=True):
-    """A candidate asks for a vote.
+    """A candidate's request for a vote.
 
-    :param pre: only asks whether a vote would be granted; ``term`` is the term that
-        the candidate would start.
-    :param transfer: the leader itself asked the candidate to take over.
+    :param last_index: index of the candidate's last log entry.
+    :param last_term: term of that entry.
+    :param pre: a pre-vote, which asks only whether a vote would be granted; ``term`` is
+        the term that the candidate would start.
+    :param transfer: the leader asked the candidate to take over.
     """
 
     term: Term
@@ -90,7 +96,7 @@
 
 
 class VoteAnswer(_Message, frozen=True):
-    """Answer to `RequestVote`; ``term`` repeats the request's where granted."""
+    """Answer to `RequestVote`; ``term`` is that of the request if granted."""
 
     term: Term
     granted: bool
@@ -98,12 +104,15 @@
 
 
 class Append(_Message, frozen=True):
-    """Entries from the leader; without entries it is a heartbeat.
+    """Log entries from the leader; a heartbeat if there are none.
 
+    :param prev_index: index of the entry before ``entries``.
+    :param prev_term: term of that entry.
+    :param commit: the leader's commit index.
     :param round: number of the latest heartbeat round, for linearizable reads.
-    :param sent_tick: the leader's tick, to be echoed.
-    :param echo_tick: latest tick of the follower that the leader has seen.
-    :param quorum_age: ticks since which the leader knows that it had its quorum.
+    :param sent_tick: the leader's tick, echoed by the follower.
+    :param echo_tick: latest tick of the follower that the leader received; -1 for none.
+    :param quorum_age: ticks since a quorum last followed the leader for certain.
     """
 
     term: Term
@@ -118,12 +127,15 @@
 
 
 class AppendAnswer(_Message, frozen=True):
-    """Answer to `Append` and `Install`, sent after what it tells is synced.
-
-    :param index: where accepted, the last index known to match the leader's log;
-        else the ``prev_index`` that was not found.
-    :param hint_index: where refused, an index to try next.
-    :param hint_term: where refused, the term found at ``prev_index``; 0 for none.
+    """Answer to `Append` and `Install`, sent once the accepted entries are synced.
+
+    :param index: if accepted, the last index known to match the leader's log; otherwise
+        the ``prev_index`` that didn't match.
+    :param round: the heartbeat round of the request.
+    :param echo_tick: ``sent_tick`` of the request.
+    :param sent_tick: the follower's tick, echoed by the leader.
+    :param hint_index: if refused, an index to try next.
+    :param hint_term: if refused, the term found at ``prev_index``; 0 for none.
     """
 
     term: Term
@@ -137,7 +149,7 @@
 
 
 class Install(_Message, frozen=True):
-    """A snapshot for a replica that needs entries which the leader has dropped."""
+    """A snapshot for a replica that needs entries which the leader has discarded."""
 
     term: Term
     snapshot: Snapshot
@@ -146,7 +158,7 @@
 
 
 class TakeOver(_Message, frozen=True):
-    """The leader asks a replica that holds the whole log to start an election."""
+    """The leader's request to a replica with a complete log to start an election."""
 
     term: Term
 
--- a/src/ibishead/control/raftlog.py
+++ b/src/ibishead/control/raftlog.py
@@ -1,4 +1,4 @@
-"""The log as a replica holds it in memory: a snapshot and the entries after it."""
+"""The in-memory log of a replica: the latest snapshot and the entries after it."""
 
 from collections.abc import Sequence
 
@@ -14,20 +14,20 @@
 
 
 def encode_configuration(configuration: Configuration) -> bytes:
-    """Return a replica set as the data of an entry."""
+    """Return the encoding of a replica set for a log entry."""
     return msgspec.json.encode(configuration)
 
 
 def decode_configuration(data: bytes) -> Configuration:
-    """Return the replica set that an entry holds."""
+    """Return the replica set encoded in a log entry."""
     return msgspec.json.decode(data, type=Configuration)
 
 
 class RaftLog:
-    """Entries by index, from the one after ``floor`` to the last.
+    """Log entries by index, from the one after ``floor`` to the last.
 
-    The floor may lie before the snapshot: some entries that the snapshot covers stay
-    for followers that are only a little behind.
+    The floor may lie before the snapshot: some entries that the snapshot covers are
+    retained for followers that lag only slightly.
     """
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[Entry] = ()) -> None:
@@ -40,17 +40,17 @@
 
     @property
     def last_index(self) -> LogIndex:
-        """Index of the last entry, or of the snapshot where there is none."""
+        """Index of the last entry, or of the floor if there is none."""
         return LogIndex(self._floor + len(self._entries))
 
     @property
     def last_term(self) -> Term:
-        """Term of the last entry, or of the snapshot where there is none."""
+        """Term of the last entry, or of the floor if there is none."""
         return self._entries[-1].term if self._entries else self._floor_term
 
     @property
     def floor(self) -> LogIndex:
-        """Last index whose entry is gone; its term is still known."""
+        """Last index whose entry was discarded; its term is still known."""
         return self._floor
 
     @property
@@ -60,15 +60,15 @@
 
     @property
     def configuration_index(self) -> LogIndex:
-        """Where the latest replica set stands."""
+        """Index of the latest replica set: its entry or the snapshot."""
         return self._configurations[-1][0]
 
     def configuration_at(self, index: int) -> Configuration:
-        """Return the replica set as of an index at or after the snapshot's."""
+        """Return the replica set as of an index, at or after that of the snapshot."""
         return next(c for i, c in reversed(self._configurations) if i <= index)
 
     def term_at(self, index: int) -> Term | None:
-        """Return the term of the entry at an index, or None where it isn't known."""
+        """Return the term of the entry at an index, or None if it isn't known."""
         if index == self._floor:
             return self._floor_term
         if self._floor < index <= self.last_index:
@@ -78,9 +78,10 @@
     def slice(
         self, first: int, last: int, max_bytes: int | None = None
     ) -> tuple[Entry, ...]:
-        """Return the entries from first to last, both included.
+        """Return the entries from ``first`` to ``last``, both inclusive.
 
-        :param max_bytes: stop before the data exceeds this, but after one entry.
+        :param max_bytes: limit of the entries' data in bytes; at least one entry is
+            returned in any case.
         """
         found = self._entries[first - self._floor - 1 : last - self._floor]
         if max_bytes is None:
@@ -93,14 +94,15 @@
         return tuple(found)
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Add entries behind the last one.
+        """Append entries.
 
-        :raises StorageFault: the entries don't follow on the last one.
+        :raises StorageFault: the indexes don't continue that of the last entry.
         """
         for entry in entries:
             if entry.index != self.last_index + 1:
                 raise StorageFault(
-                    f"log entry {entry.index} follows {self.last_index}",
+                    f"log entry {entry.index} was added directly after"
+                    f" entry {self.last_index}",
                     "give this replica an empty data folder and run "
                     "`ibishead replace` for it",
                 )
@@ -110,16 +112,16 @@
                 self._configurations.append((entry.index, found))
 
     def truncate(self, first: int) -> None:
-        """Drop all entries from an index on."""
+        """Remove all entries from an index on."""
         del self._entries[first - self._floor - 1 :]
         while len(self._configurations) > 1 and self.configuration_index >= first:
             self._configurations.pop()
 
     def compact(self, snapshot: Snapshot, retain: int, retain_bytes: int = 0) -> None:
-        """Let a snapshot of one's own state stand for the entries that it covers.
+        """Replace the entries that a snapshot of the own state covers.
 
-        :param retain: how many of them to keep in memory at most.
-        :param retain_bytes: how much data of them to keep at most.
+        :param retain: maximum number of covered entries to retain in memory.
+        :param retain_bytes: maximum size of their data in bytes.
         """
         floor = max(self._floor, snapshot.index - retain)
         size = 0
@@ -136,9 +138,10 @@
         self._configurations = [(snapshot.index, snapshot.configuration), *later]
 
     def install(self, snapshot: Snapshot) -> bool:
-        """Let a snapshot of another replica replace the log.
+        """Replace the log by a snapshot of another replica.
 
-        :returns: whether entries behind the snapshot were kept, as they follow on it.
+        :returns: whether the entries after the snapshot were retained, which is so if
+            the log agrees with the snapshot at its index.
         """
         if self.term_at(snapshot.index) == snapshot.term:
             self.compact(snapshot, 0)
@@ -147,14 +150,14 @@
         return False
 
     def first_of_term(self, index: int) -> LogIndex:
-        """Return the first known index of the term found at an index."""
+        """Return the first known index with the same term as an index."""
         term = self.term_at(index)
         while self.term_at(index - 1) == term:
             index -= 1
         return LogIndex(index)
 
     def last_of_term(self, term: int, below: int) -> LogIndex | None:
-        """Return the last index below another whose entry is of a term."""
+        """Return the last index below ``below`` whose entry has a term, if any."""
         index = min(below - 1, self.last_index)
         while index > self._floor:
             found = self.term_at(index)
--- a/src/ibishead/control/raftstate.py
+++ b/src/ibishead/control/raftstate.py
@@ -1,4 +1,4 @@
-"""What one replica knows, and the outputs that it owes its shell."""
+"""State of one replica's consensus, and the outputs for its caller to perform."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -29,12 +29,13 @@
 ]
 
 
-#: Leases noted ahead of what is applied; a replica that lags more has none.
+#: Maximum number of leases recorded ahead of the applied index. Older ones are dropped,
+#: so that a replica that lags further has no lease.
 _MAX_LEASE_MARKS = 64
 
 
 class Role(Enum):
-    """What a replica does in its term."""
+    """Role of a replica in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -44,20 +45,22 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """Durations in ticks.
-
-    :param heartbeat: between two heartbeats of a leader.
-    :param election: without contact until an election; a random share of the same
-        length is added, so that candidates seldom meet.
-    :param first: without contact until the first election after a start, and a random
-        share of it; as much more for each further one until a leader was known. 0 for
-        as long as any other. A replica that has just started may then elect another
-        leader while an older one still counts on its lease, so with it no state counts
-        as current without a round to the quorum.
-    :param retain: entries kept in memory behind a snapshot, at most.
-    :param retain_bytes: data of these entries, at most.
-    :param append_bytes: most data in one `Append`.
-    :param window: entries sent ahead of a follower's answer.
+    """Durations in ticks, and limits of the log.
+
+    :param heartbeat: interval between a leader's heartbeats.
+    :param election: election timeout, in ticks without contact to a leader. A random
+        part of the same length is added, so that candidates rarely compete.
+    :param first: timeout of the first election after startup, to which a random part of
+        the same length is added. It grows by this value with each further attempt until
+        a leader is known. 0 uses ``election`` instead. Otherwise, replicas that have
+        just started may elect another leader while an older one still relies on its
+        lease, so there are no leases and every current read takes a round to the
+        quorum.
+    :param retain: maximum number of entries retained in memory that the snapshot
+        covers.
+    :param retain_bytes: maximum size of these entries' data in bytes.
+    :param append_bytes: maximum size of the data in one `Append` in bytes.
+    :param window: maximum number of entries sent ahead of a follower's answer.
     """
 
     heartbeat: int = 1
@@ -71,7 +74,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Give a message to the link to a peer."""
+    """Send a message to a replica, possibly this one."""
 
     to: ReplicaId
     message: PeerMessage
@@ -79,11 +82,11 @@
 
 @dataclass(frozen=True)
 class Write:
-    """Put on disk and sync, then call ``synced(token)``; writes stay in order.
+    """Write to disk and sync, in order, then call ``synced(token)``.
 
-    :param entries: replace everything in the log from the first one's index on.
-    :param snapshot: a new snapshot, or None.
-    :param reset: the snapshot replaces the whole log, not only what it covers.
+    :param entries: replace all entries in the log from the first one's index on.
+    :param snapshot: the new snapshot, or None.
+    :param reset: the snapshot replaces the whole log, not only the entries it covers.
     """
 
     token: int
@@ -96,21 +99,21 @@
 
 @dataclass(frozen=True)
 class Apply:
-    """Give committed entries to the state machine."""
+    """Apply committed entries to the state machine."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True)
 class Restore:
-    """Replace the state machine's state by the snapshot's."""
+    """Replace the state machine's state by that of the snapshot."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True)
 class ReadReady:
-    """The read may be served by a state that holds all up to ``index``."""
+    """The read may be served once all entries up to ``index`` are applied."""
 
     context: int
     index: LogIndex
@@ -118,7 +121,7 @@
 
 @dataclass(frozen=True)
 class ReadRefused:
-    """This replica can't confirm the read; nothing is known of it."""
+    """This replica can't confirm the read, so nothing is known about it."""
 
     context: int
 
@@ -128,13 +131,15 @@
 
 @dataclass
 class Progress:
-    """What a leader knows of one follower.
-
-    :param match: last index known to be on the follower's disk.
-    :param next: first index to send next.
-    :param probing: one `Append` at a time, until the logs are known to meet.
-    :param contact: the leader's tick that the follower echoed last; -1 for none.
-    :param echo: the follower's own tick that came with it.
+    """Replication progress of one follower, as known to the leader.
+
+    :param next: index of the next entry to send.
+    :param match: last index known to be durable on the follower.
+    :param probing: send one `Append` at a time, until a common entry is found.
+    :param round: latest heartbeat round that the follower has answered.
+    :param contact: the latest tick of the leader that the follower echoed; -1 for none.
+    :param echo: the latest tick of the follower's own that its answers carried; -1 for
+        none.
     :param installing: tick at which a snapshot was sent; -1 for none.
     """
 
@@ -149,7 +154,7 @@
 
 @dataclass
 class PendingRead:
-    """A read that waits for its heartbeat round."""
+    """A read that waits for a quorum to answer its heartbeat round."""
 
     context: int
     index: LogIndex
@@ -158,7 +163,10 @@
 
 @dataclass(frozen=True)
 class LeaseMark:
-    """A lease that starts to count once all up to ``commit`` is applied."""
+    """A lease that takes effect once all entries up to ``commit`` are applied.
+
+    :param until: tick at which it ends.
+    """
 
     commit: LogIndex
     until: int
@@ -174,10 +182,22 @@
 
 @dataclass
 class RaftState:
-    """All that a replica knows; election and replication work on it.
+    """State of the consensus, shared by the election and replication functions.
+
+    All times are in ticks.
 
-    :param draw: returns a number from 0 up to its argument, less one.
+    :param draw: returns a random integer from 0 to its argument minus one.
     :param durable: last index of the log that is synced on this replica.
+    :param now: ticks since startup.
+    :param contact: tick at which the election timeout was last restarted.
+    :param deadline: tick at which an election starts.
+    :param round: the leader's latest heartbeat round.
+    :param elected: tick at which this replica became leader.
+    :param settled: whether a leader has been known since startup.
+    :param attempts: number of pre-votes started at a deadline since startup.
+    :param own_term_index: index of the empty entry that starts this leader's term.
+    :param early_reads: reads received before ``own_term_index`` was committed.
+    :param restore: a snapshot to restore once it is durable.
     """
 
     replica: ReplicaId
@@ -228,13 +248,13 @@
 
     @property
     def peers(self) -> list[ReplicaId]:
-        """All other replicas that get the log."""
+        """All other replicas that receive the log: voters and learners."""
         found = self.configuration
         members = (*found.voters, *found.learners)
         return [member for member in members if member != self.replica]
 
     def lease(self) -> int:
-        """Return the ticks for which the applied state counts as current."""
+        """Return a follower's lease in ticks: how long its state counts as current."""
         if self.role is Role.LEADER:
             return 0
         while self.lease_marks and self.lease_marks[0].commit <= self.applied:
@@ -243,21 +263,22 @@
         return max(0, self.lease_until - self.now)
 
     def is_voter(self) -> bool:
-        """Return whether this replica counts in its latest replica set."""
+        """Return whether this replica is a voter in its latest replica set."""
         return self.replica in self.configuration.voters
 
     # Messages ----------------------------------------------------------------
 
     def send(self, to: ReplicaId, message: PeerMessage) -> None:
-        """Send without waiting for the disk."""
+        """Queue a message that doesn't depend on unsynced writes."""
         self.outputs.append(Send(to, message))
 
     def send_synced(self, to: ReplicaId, message: PeerMessage) -> None:
-        """Send once all that this replica has decided so far is synced.
+        """Queue a message to be sent once all changes so far are synced.
 
-        A vote or an accepted entry that a crash could take back would be counted by
-        a peer and then given anew to another: two leaders a term, or a committed
-        entry lost. Held back until the sync, the crash takes the answer with it.
+        A peer would count a vote or an accepted entry that a crash can still undo. The
+        replica could then vote for another candidate or lose the entry, which leads to
+        two leaders in a term or the loss of a committed entry. If the message waits for
+        the sync, a crash before it also discards the message.
         """
         needed = self._token + 1 if self._is_dirty() else self._token
         if needed <= self._synced:
@@ -268,20 +289,20 @@
     # Writes ------------------------------------------------------------------
 
     def set_term(self, term: Term, vote: ReplicaId | None) -> None:
-        """Change term and vote, to be written."""
+        """Set term and vote, and include them in the next write if they changed."""
         if (term, vote) != (self.term, self.vote):
             self.term, self.vote = term, vote
             self._dirty_vote = True
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Add entries to the log, to be written."""
+        """Append entries to the log and include them in the next write."""
         added = list(entries)
         if added:
             self._mark_dirty(added[0].index)
             self.log.append(added)
 
     def truncate(self, first: int) -> None:
-        """Drop entries that never were committed; others follow in their place."""
+        """Remove uncommitted entries from an index on, before others replace them."""
         self.log.truncate(first)
         self._mark_dirty(first)
         self.durable = min(self.durable, first - 1)
@@ -289,16 +310,16 @@
             issued.last_index = min(issued.last_index, first - 1)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Let a snapshot of the applied state stand for its entries."""
+        """Replace entries by a snapshot of the applied state."""
         self.log.compact(snapshot, self.timing.retain, self.timing.retain_bytes)
         self._dirty_snapshot = snapshot
 
     def install(self, snapshot: Snapshot) -> None:
-        """Let a leader's snapshot replace what this replica has applied."""
-        kept = self.log.install(snapshot)
+        """Replace this replica's applied state by a snapshot of the leader's."""
+        retained = self.log.install(snapshot)
         self._dirty_snapshot = snapshot
-        self._dirty_reset = not kept
-        if not kept:
+        self._dirty_reset = not retained
+        if not retained:
             self._dirty_from = None
             self.durable = 0
             for issued in self._issued:
@@ -307,7 +328,7 @@
         self.restore = snapshot
 
     def issue_write(self) -> None:
-        """Put out one write for all that changed since the last."""
+        """Output one write with all changes since the last one."""
         if not self._is_dirty():
             return
         entries: tuple[Entry, ...] = ()
@@ -323,7 +344,10 @@
         self._dirty_from = self._dirty_snapshot = None
 
     def mark_synced(self, token: int) -> None:
-        """Release what waited for a write and for all before it."""
+        """Record that a write and all earlier ones are durable, and release messages.
+
+        Messages of older terms are dropped.
+        """
         self._synced = max(self._synced, token)
         while self._issued and self._issued[0].token <= token:
             self.durable = max(self.durable, self._issued.popleft().last_index)
@@ -333,7 +357,7 @@
                 self.outputs.append(held)
 
     def issue_applies(self) -> None:
-        """Put out what is committed and on this replica's own disk."""
+        """Output the entries and snapshots to apply: committed and locally durable."""
         if self.restore and self.durable >= self.restore.index:
             self.outputs.append(Restore(self.restore))
             self.applied = max(self.applied, self.restore.index)
@@ -353,12 +377,15 @@
         return self._dirty_vote or log_changed or self._dirty_snapshot is not None
 
 
-def has_quorum(voters: Iterable[ReplicaId], yes: Iterable[ReplicaId]) -> bool:
-    """Return whether more than half of the voters are among those named."""
+def has_quorum(voters: Iterable[ReplicaId], granting: Iterable[ReplicaId]) -> bool:
+    """Return whether more than half of the voters are among ``granting``."""
     counted = set(voters)
-    return 2 * len(counted.intersection(yes)) > len(counted)
+    return 2 * len(counted.intersection(granting)) > len(counted)
 
 
 def quorum_value(values: list[int]) -> int:
-    """Return the largest value that more than half of the voters have reached."""
+    """Return the largest value that more than half of the voters have reached.
+
+    :param values: one per voter.
+    """
     return sorted(values, reverse=True)[len(values) // 2] if values else 0
--- a/src/ibishead/control/records.py
+++ b/src/ibishead/control/records.py
@@ -1,4 +1,4 @@
-"""Records with length and checksum, and what a bad one at the end means."""
+"""Checksummed records in a file, and the detection of torn writes and damage."""
 
 import struct
 from collections.abc import Iterator
@@ -8,17 +8,17 @@
 
 __all__ = ["DamagedRecord", "Record", "TornTail", "frame", "split"]
 
-#: Length of the payload, its checksum, then a checksum of these two.
+#: Length of the payload, checksum of the payload, checksum of these two fields.
 _HEADER = struct.Struct(">IQI")
 _FIELDS = struct.Struct(">IQ")
-#: Smallest unit that a disk writes whole, in bytes.
+#: Smallest unit that a disk writes atomically, in bytes.
 _SECTOR = 512
 
 
 class DamagedRecord(Exception):
-    """Bytes that were synced once can't be read as a record any more.
+    """A record that was synced before is damaged.
 
-    :param offset: where the record begins.
+    :param offset: offset of the record in the file, in bytes.
     """
 
     def __init__(self, offset: int) -> None:
@@ -28,14 +28,17 @@
 
 @dataclass(frozen=True)
 class Record:
-    """A whole record."""
+    """An intact record."""
 
     payload: bytes
 
 
 @dataclass(frozen=True)
 class TornTail:
-    """A write that a crash cut short; the file ends at ``offset`` without it."""
+    """An incomplete record left by a crash during a write.
+
+    :param offset: size in bytes to which the file must be truncated to remove it.
+    """
 
     offset: int
 
@@ -43,18 +46,19 @@
 def frame(payload: bytes) -> bytes:
     """Return a record that holds the payload."""
     fields = _FIELDS.pack(len(payload), xxhash.xxh3_64_intdigest(payload))
-    check = xxhash.xxh32_intdigest(fields)
-    return fields + check.to_bytes(4, "big") + payload
+    checksum = xxhash.xxh32_intdigest(fields)
+    return fields + checksum.to_bytes(4, "big") + payload
 
 
 def split(data: bytes) -> Iterator[Record | TornTail]:
-    """Return the records of a file; a torn tail comes last.
+    """Yield the records of a file, and a torn tail last if there is one.
 
-    Each write to the file is one record and is synced before the next, so that only
-    the last one can be torn. It is told from damage by what a crash leaves: a record
-    that ends too early, or sectors that were never written and read as zeros.
+    Each write to the file is one record and is synced before the next, so that only the
+    last record can be torn. A torn record differs from a damaged one by what a crash
+    leaves behind: it ends too early, or contains sectors that were never written and
+    read as zeros.
 
-    :raises DamagedRecord: a record is bad and can't have been torn.
+    :raises DamagedRecord: a record is invalid and can't be a torn one.
     """
     offset = 0
     while offset < len(data):
@@ -74,18 +78,18 @@
         return None
     start = offset + _HEADER.size
     payload = data[start : start + length]
-    check = _HEADER.unpack_from(data, offset)[1]
-    whole = len(payload) == length and xxhash.xxh3_64_intdigest(payload) == check
-    return payload if whole else None
+    checksum = _HEADER.unpack_from(data, offset)[1]
+    intact = len(payload) == length and xxhash.xxh3_64_intdigest(payload) == checksum
+    return payload if intact else None
 
 
 def _read_length(data: bytes, offset: int) -> int | None:
-    """Return a payload's length where the header can be trusted."""
+    """Return the payload's length if the header is intact."""
     if offset + _HEADER.size > len(data):
         return None
-    length, payload_check, check = _HEADER.unpack_from(data, offset)
-    fields = _FIELDS.pack(length, payload_check)
-    return length if xxhash.xxh32_intdigest(fields) == check else None
+    length, payload_checksum, checksum = _HEADER.unpack_from(data, offset)
+    fields = _FIELDS.pack(length, payload_checksum)
+    return length if xxhash.xxh32_intdigest(fields) == checksum else None
 
 
 def _is_torn(data: bytes, offset: int) -> bool:
--- a/src/ibishead/control/repair.py
+++ b/src/ibishead/control/repair.py
@@ -1,4 +1,4 @@
-"""Takes new replicas in and lost ones out, by an operator's wish or unattended."""
+"""Replacement of lost replicas by new ones, by an operator's command or automatic."""
 
 import asyncio
 import logging
@@ -17,31 +17,34 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds in which a new replica must have caught up.
+#: Seconds within which a new replica must catch up with the log.
 REPLACE_LIMIT = 120.0
 
-#: Seconds for which the promotion of a replica that has held the whole log waits for
-#: the entry in between.
+#: Seconds for which the promotion of a replica that had caught up waits for it to
+#: receive the entry of the last change.
 _PROMOTE_LIMIT = 2.0
 
-#: Seconds without an introduction after which a spare counts as gone.
+#: Seconds without an introduction after which a host counts as unreachable.
 _HEARD_LIMIT = 5.0
 
-#: Seconds between two tries of an unattended repair; short, so that two voters lost in
-#: turn are both replaced before a third may go.
+#: Seconds between attempts at an automatic repair, short enough that two voters lost in
+#: succession are both replaced before a third may be lost.
 _REPAIR_INTERVAL = 0.5
 
 
 async def replace(replica: "LogReplica", lost: ReplicaId, host: HostId) -> ReplicaId:
     """Replace a replica by the new one that runs on a host; to be called on the leader.
 
-    The new one is a learner until it holds the log. Then a silent voter leaves first,
-    as the two together would ask for more hosts than are alive, should the new one
-    fail too. A voter that still answers leaves last, so that the set never shrinks.
+    The new replica is a learner until it has caught up with the log. Then a silent
+    voter is removed before the promotion, as otherwise both together would raise the
+    quorum above the number of live voters if the new replica failed too. A voter that
+    still answers is removed after the promotion, so that the set never shrinks.
 
-    :raises Unavailable: the host has no new replica, or it doesn't catch up.
+    :returns: the new replica.
+    :raises Unavailable: the host has no new replica, it doesn't catch up, or the
+        replica to replace is the leader, which has then transferred its leadership.
     :raises Conflict: the host's replica is a voter already, or another change of the
-        replica set is under way.
+        replica set is in progress.
     """
     fresh = _find_fresh(replica, lost, host)
     _check_size(replica, lost, fresh)
@@ -50,13 +53,13 @@
         await _promote(replica, fresh)
         await replica.transfer()
         raise Unavailable(
-            f"{lost} led and has handed over",
-            "ask again; the new leader removes it",
+            f"{lost} was the leader and has handed over the leadership",
+            "repeat the command, so that the new leader removes it",
             code=ErrorCode.NOT_LEADER,
             retry_after=timedelta(seconds=replica.pace.election),
         )
-    superseded = replica_host(lost) == replica_host(fresh)
-    if superseded or replica.core.silence(lost) >= replica.pace.timing.election:
+    same_host = replica_host(lost) == replica_host(fresh)
+    if same_host or replica.core.silence(lost) >= replica.pace.timing.election:
         await _take_out(replica, lost)
         await _promote(replica, fresh)
     else:
@@ -67,7 +70,7 @@
 
 
 class Watch:
-    """Replaces lost replicas without an operator, where a new one is at hand."""
+    """Replaces lost replicas without an operator if a new replica is available."""
 
     def __init__(self, replica: "LogReplica") -> None:
         self._replica = replica
@@ -75,10 +78,10 @@
         self._next = 0.0
 
     def find_spare(self) -> ReplicaId | None:
-        """Return a new replica that holds no copy of the log yet, if one is at hand.
+        """Return an available replica that is neither voter nor learner, if any.
 
-        As a learner it can take a lost voter's place at once, and answers reads and
-        passes on commands meanwhile.
+        As a learner, it can replace a lost voter immediately; until then it serves
+        reads and forwards commands.
         """
         replica = self._replica
         if self._running or not replica.pace.readmit:
@@ -91,7 +94,7 @@
         return None
 
     async def take_spare(self, spare: ReplicaId) -> None:
-        """Make a spare a learner, in place of former replicas of its host."""
+        """Add a spare as a learner, and remove former learners of its host."""
         self._running = True
         try:
             current = self._replica.core.configuration
@@ -102,29 +105,29 @@
             await self._replica.change_configuration(
                 configuration.add_learner(current, spare)
             )
-            logger.info("spare %s follows the log", spare)
+            logger.info("spare %s added as a learner", spare)
         except IbisheadError as error:
-            logger.info("spare not taken in", extra={"reason": str(error)})
+            logger.info("spare not added as a learner", extra={"reason": str(error)})
         finally:
             self._running = False
             self._next = self._replica.clock.monotonic() + _REPAIR_INTERVAL
 
     def is_due(self) -> bool:
-        """Return whether a voter is lost, a new replica is there and none is under way.
+        """Return whether a voter is lost and a repair can start now.
 
-        A lost voter costs nothing by itself, but the next loss would stop all changes.
-        It counts as lost only after minutes, as a restart or a short cut is no reason
-        to copy the whole log.
+        A lost voter alone does no harm, but the next loss would block all changes. By
+        default, a voter counts as lost only after minutes of silence, as a restart or a
+        short network interruption doesn't justify copying the whole log.
         """
         now = self._replica.clock.monotonic()
         return not self._running and now >= self._next and self._plan() is not None
 
     def find_missing(self) -> ReplicaId | None:
-        """Return a learner to promote where voters are too few.
+        """Return a learner to promote if there are fewer voters than configured.
 
-        Failure: a replacement removes the lost voter and is then interrupted, by a
-        change of leader or a learner that lags. Nothing is silent any more, so no
-        repair is due, and the next loss ends the quorum for good.
+        Failure: a replacement removes the lost voter and is then interrupted by a
+        change of leader or a learner that lags. No voter is silent any more, so no
+        repair is due, and the next loss ends the quorum permanently.
         """
         replica = self._replica
         current = replica.core.configuration
@@ -134,9 +137,9 @@
             return None
         for learner in current.learners:
             known = replica.founding.known.get(replica_host(learner))
-            heard = known is not None and known.replica == learner
+            introduced = known is not None and known.replica == learner
             if (
-                heard
+                introduced
                 and _is_heard(replica, replica_host(learner))
                 and replica.core.is_caught_up(learner)
             ):
@@ -144,29 +147,29 @@
         return None
 
     async def promote(self, learner: ReplicaId) -> None:
-        """Make a learner a voter."""
+        """Promote a learner to voter."""
         self._running = True
         try:
             await _promote(self._replica, learner)
-            logger.info("learner %s votes", learner)
+            logger.info("learner %s now votes", learner)
         except IbisheadError as error:
-            logger.warning("learner doesn't vote yet", extra={"reason": str(error)})
+            logger.warning("learner not promoted yet", extra={"reason": str(error)})
         finally:
             self._running = False
             self._next = self._replica.clock.monotonic() + _REPAIR_INTERVAL
 
     async def run(self) -> None:
-        """Replace the voter that has been silent longest."""
+        """Replace a voter whose host has a new replica, or that was silent longest."""
         plan = self._plan()
         if plan is None:
             return
         self._running = True
         lost, host = plan
-        logger.warning("replica %s is lost, replacing it by one on %s", lost, host)
+        logger.warning("replica %s is lost, replacing it by that on %s", lost, host)
         try:
             await replace(self._replica, lost, host)
         except IbisheadError as error:
-            logger.warning("repair not finished", extra={"reason": str(error)})
+            logger.warning("repair failed", extra={"reason": str(error)})
         finally:
             self._running = False
             self._next = self._replica.clock.monotonic() + _REPAIR_INTERVAL
@@ -174,16 +177,16 @@
     def _plan(self) -> tuple[ReplicaId, HostId] | None:
         replica = self._replica
         core = replica.core
-        limit = replica.pace.repair / replica.pace.tick
-        lost = [(core.silence(voter), voter) for voter in core.configuration.voters]
+        max_silence = replica.pace.repair / replica.pace.tick
+        silences = [(core.silence(voter), voter) for voter in core.configuration.voters]
         hosts = [host for host in replica.founding.known if _has_fresh(replica, host)]
-        for _, voter in lost:
-            # Failure: a voter's disk was emptied and its host is back under another
-            # identity. The old one can never answer again, so nothing is gained by
-            # waiting out a silence, in which a second loss would stop all changes.
+        for _, voter in silences:
+            # Failure: a voter's disk was emptied and its host has returned under a new
+            # identity. The old one can never answer again, so waiting for the silence
+            # would only add time in which a second loss blocks all changes.
             if replica.pace.readmit and replica_host(voter) in hosts:
                 return voter, replica_host(voter)
-        silent = [found for found in lost if found[0] >= limit]
+        silent = [found for found in silences if found[0] >= max_silence]
         if not silent or not hosts:
             return None
         return max(silent)[1], sorted(hosts)[0]
@@ -193,22 +196,22 @@
     current = replica.core.configuration
     if fresh not in current.voters and fresh not in current.learners:
         await replica.change_configuration(configuration.add_learner(current, fresh))
-    limit = replica.clock.monotonic() + REPLACE_LIMIT
+    deadline = replica.clock.monotonic() + REPLACE_LIMIT
     while fresh not in replica.core.configuration.voters:
         if replica.core.is_caught_up(fresh):
             return
-        # Failure: the new replica is gone again. Waiting for it would keep every other
-        # repair back for as long.
+        # Failure: the new replica has stopped. Waiting for it would delay every other
+        # repair by as long.
         if fresh != replica.name and not _is_heard(replica, replica_host(fresh)):
             raise Unavailable(
-                f"replica {fresh} is gone before it has caught up",
+                f"replica {fresh} stopped answering before it had caught up",
                 "check its host, or name another one",
                 code=ErrorCode.NO_QUORUM,
             )
-        if replica.clock.monotonic() >= limit or not replica.is_leader():
+        if replica.clock.monotonic() >= deadline or not replica.is_leader():
             raise Unavailable(
                 f"replica {fresh} has not caught up with the log",
-                "check the new host and its links, then ask again",
+                "check the new host and its links, then repeat the command",
                 code=ErrorCode.NO_QUORUM,
             )
         await asyncio.sleep(replica.pace.tick)
@@ -217,9 +220,9 @@
 async def _promote(replica: "LogReplica", fresh: ReplicaId) -> None:
     if fresh in replica.core.configuration.voters:
         return
-    # the change before it may not have reached the new replica yet
-    limit = replica.clock.monotonic() + _PROMOTE_LIMIT
-    while not replica.core.is_caught_up(fresh) and replica.clock.monotonic() < limit:
+    # the new replica may not have received the previous change yet
+    deadline = replica.clock.monotonic() + _PROMOTE_LIMIT
+    while not replica.core.is_caught_up(fresh) and replica.clock.monotonic() < deadline:
         await asyncio.sleep(replica.pace.tick)
     current = replica.core.configuration
     await replica.change_configuration(configuration.promote(current, fresh))
@@ -233,16 +236,16 @@
 
 def _find_fresh(replica: "LogReplica", lost: ReplicaId, host: HostId) -> ReplicaId:
     if host == replica_host(replica.name) and lost != replica.name:
-        # the new replica itself leads when a replaced leader has handed over to it
+        # a replaced leader may have transferred the leadership to the new replica
         return replica.name
     known = replica.founding.known.get(host)
-    # Failure: a host is started anew with an empty folder, and the last that was
-    # heard from it is the lost replica's own introduction. Taken for the new one it
-    # would be removed as its own replacement, and the set would be one short.
+    # Failure: a host was restarted with an empty folder, but its latest introduction
+    # still is that of the lost replica. Chosen as the new one, the lost replica would
+    # be removed as its own replacement, and the set would be one voter short.
     if known is None or known.replica == lost or not _is_heard(replica, host):
         raise Unavailable(
             f"no new replica answers on host {host}",
-            "name a host of [peers] or [spares] and start ibishead-control there "
+            "name a host from [peers] or [spares] and start ibishead-control there "
             "with an empty data folder",
             code=ErrorCode.NO_QUORUM,
         )
@@ -250,14 +253,15 @@
 
 
 def _check_size(replica: "LogReplica", lost: ReplicaId, fresh: ReplicaId) -> None:
-    """Refuse to remove a voter where no other takes its place.
+    """Refuse to remove a voter if the new replica doesn't add one.
 
-    An even set is one in the middle of a replacement, which may be asked for again.
+    An even number of voters means that a replacement was interrupted, and it may be
+    repeated.
     """
     voters = replica.core.configuration.voters
     if fresh in voters and lost in voters and len(voters) % 2:
         raise Conflict(
-            f"replica {fresh} counts already",
+            f"replica {fresh} is a voter already",
             "name a host that runs a new replica or a spare",
         )
 
--- a/src/ibishead/control/replica.py
+++ b/src/ibishead/control/replica.py
@@ -1,4 +1,4 @@
-"""One replica of the control log, as the rest of the control program uses it."""
+"""A replica of the control log, as used by the rest of the control program."""
 
 import asyncio
 import contextlib
@@ -49,19 +49,19 @@
 
 _T = TypeVar("_T")
 
-#: Seconds between two introductions to each other host.
+#: Interval of the introductions to each other host, in seconds.
 INTRODUCE_INTERVAL = 0.5
 
 
 class LogReplica:
-    """A `Replica` with its log on a disk.
+    """A `Replica` that stores its log on disk.
 
     :param host: this replica's name in the settings.
-    :param first_hosts: names of the first voters in the settings.
-    :param draw: returns a number from 0 up to its argument, less one.
-    :param draw_name: returns text that no two calls anywhere return alike.
-    :param on_failure: called once, when the disk has failed and nothing goes on.
-    :raises StorageFault: the folder is damaged.
+    :param first_hosts: names of the initial voters in the settings.
+    :param draw: returns a random integer from 0 to its argument minus one.
+    :param draw_name: returns a globally unique string on each call.
+    :param on_failure: called once, when the disk has failed and the replica stops.
+    :raises StorageFault: the data folder is damaged.
     """
 
     def __init__(
@@ -104,28 +104,28 @@
 
     @property
     def name(self) -> ReplicaId:
-        """This replica's identity in the log."""
+        """This replica's id in the replica set."""
         return self._identity.replica
 
     @property
     def core(self) -> Consensus:
-        """The consensus, caught up with the clock."""
+        """The consensus, advanced to the current time."""
         self._driver.advance()
         return self._driver.core
 
     async def start(self) -> None:
-        """Begin to take part."""
+        """Start to participate in the consensus."""
         self._links.start()
         self._driver.schedule_flush()
         self._spawn(self._run())
 
     async def propose(self, command: bytes, *, applied: bool = True) -> bytes:
-        """Return the command's result, once committed.
+        """Propose a command, and return its result once it is committed.
 
-        :param applied: wait until it is applied here too.
-        :raises Unavailable: code ``NO_QUORUM`` when it was not taken, or
-            ``OUTCOME_UNKNOWN`` when nothing is known of it.
-        :raises StorageFault: code ``STORAGE_FULL``; it was not taken.
+        :param applied: also wait until this replica has applied it.
+        :raises Unavailable: code ``NO_QUORUM`` if the command was not accepted, or
+            ``OUTCOME_UNKNOWN`` if it may have been.
+        :raises StorageFault: code ``STORAGE_FULL``; the command was not accepted.
         """
         if self.is_leader():
             return (await self._propose_here(command))[1]
@@ -135,7 +135,7 @@
         return answer.result
 
     async def confirm_read(self) -> None:
-        """Return once the local state holds all that was accepted before the call.
+        """Return once the local state includes all changes accepted before the call.
 
         :raises Unavailable: code ``NO_QUORUM``.
         """
@@ -149,19 +149,20 @@
             raise self._describe_no_quorum() from error
 
     def lease(self) -> float:
-        """Return the seconds for which this replica may vouch for its state."""
+        """Return the seconds for which this replica's state counts as current."""
         return self._driver.lease()
 
     def leader(self) -> ReplicaId | None:
-        """Return the leader this replica follows, itself included."""
+        """Return the current leader, possibly this replica, or None."""
         return self.core.leader
 
     def expects_leader(self) -> bool:
-        """Return whether a leader is known or may be within the time of an election.
+        """Return whether a leader is known or likely to be elected soon.
 
-        A replica that is cut off has no leader for as long as that lasts, while an
-        election ends soon after the leader is lost. Until the log is founded one is
-        always expected.
+        A partitioned replica has no leader for as long as the partition lasts, while an
+        election ends soon after the loss of the leader. So no leader is expected after
+        an election timeout without one. Until the cluster is founded, one is always
+        expected.
         """
         core = self.core
         if core.leader is not None or not core.configuration.voters:
@@ -169,43 +170,46 @@
         return self.clock.monotonic() - self._led_at <= self.pace.election
 
     def is_leader(self) -> bool:
-        """Return whether this replica leads and its quorum still answers."""
+        """Return whether this replica is a leader whose quorum still answers."""
         return self.core.role is Role.LEADER and not self._driver.failed
 
     def replicas(self) -> ReplicaSet:
-        """Return the replica set in force."""
+        """Return the latest replica set in the log."""
         found = self.core.configuration
         return ReplicaSet(found.voters, found.learners)
 
     def count_reached(self) -> tuple[int, int]:
-        """Return how many voters a link leads to, itself included, and all voters."""
+        """Return the number of reachable voters and the number of all voters.
+
+        Reachable are those to which a link is open, and this replica itself.
+        """
         return len(self._list_linked()), len(self.core.configuration.voters)
 
     async def transfer(self) -> None:
-        """Hand the leadership to the replica that is furthest along.
+        """Transfer the leadership to the replica with the most complete log.
 
-        :raises Unavailable: no other replica took it in time.
+        :raises Unavailable: no other replica took over in time.
         """
         if not self.is_leader():
             return
         successor = self.core.transfer()
         self._driver.schedule_flush()
-        limit = self.clock.monotonic() + 2 * self.pace.election
-        while successor is not None and self.clock.monotonic() < limit:
+        deadline = self.clock.monotonic() + 2 * self.pace.election
+        while successor is not None and self.clock.monotonic() < deadline:
             if self.core.leader not in (None, self.name):
                 return
             await asyncio.sleep(self.pace.tick / 5)
         raise Unavailable(
-            "no other replica took the leadership",
+            "no other replica took over the leadership",
             "check with `ibishead status` that the other replicas run",
             code=ErrorCode.NO_QUORUM,
         )
 
     async def change_replicas(self, lost: ReplicaId, host: HostId) -> ReplicaId:
-        """Replace a replica by a new one on the host, and return the new one's id.
+        """Replace a replica by a new one on a host, and return the new one's id.
 
-        :raises Unavailable: no quorum, or the host can't be reached.
-        :raises Conflict: another change of the replica set is under way.
+        :raises Unavailable: there is no quorum, or the host can't be reached.
+        :raises Conflict: another change of the replica set is in progress.
         """
         if self.is_leader():
             return await repair.replace(self, lost, host)
@@ -217,7 +221,7 @@
         return answer.replica
 
     async def change_configuration(self, wanted: Configuration) -> None:
-        """Change the replica set by one replica, and return once that is committed."""
+        """Change the replica set by one replica; return once that is committed."""
         core = self.core
         index = core.propose_configuration(wanted)
         await self._driver.wait_for(index, core.term)
@@ -233,10 +237,10 @@
         self._files.close()
 
     def take_frame(self, frame: PeerFrame) -> None:
-        """Take in what another replica sent to this one's link server."""
+        """Process a frame that another replica sent to this one's link server."""
         if self._driver.failed or frame.receiver not in (self.name, ""):
             return
-        # what waited during a freeze must not be acted on before the ticks are
+        # after a suspension, process the missed ticks before the queued messages
         self._driver.advance()
         message = self._reader.read(frame)
         if isinstance(message, Introduce):
@@ -254,7 +258,7 @@
         if not self._driver.has_room():
             raise StorageFault(
                 "the disk of the control log is full",
-                "free some room on it; nothing that was accepted is lost",
+                "free some space on it; nothing that was accepted is lost",
                 code=ErrorCode.STORAGE_FULL,
                 retry_after=timedelta(seconds=self.pace.answer),
             )
@@ -298,10 +302,10 @@
         finally:
             self._answers.close(number)
 
-    async def _bound(self, waiting: Awaitable[_T], limit: float | None = None) -> _T:
+    async def _bound(self, result: Awaitable[_T], limit: float | None = None) -> _T:
         try:
             async with asyncio.timeout(limit or self.pace.answer):
-                return await waiting
+                return await result
         except TimeoutError as error:
             raise describe_unknown() from error
 
@@ -361,7 +365,8 @@
 
     def _accept_cluster(self, frame: PeerFrame) -> bool:
         if not self._identity.cluster and frame.cluster and frame.receiver:
-            # a leader knows this very identity, so it has taken this replica in
+            # the frame is addressed to this identity, so a leader has added it to the
+            # cluster
             self._join(Identity(self.name, frame.cluster))
         return bool(frame.cluster) and frame.cluster == self._identity.cluster
 
@@ -390,7 +395,7 @@
         for host in self._links.hosts:
             self._links.introduce(self._identity, host)
 
-    # Time --------------------------------------------------------------------
+    # Periodic work -----------------------------------------------------------
 
     async def _run(self) -> None:
         while True:
@@ -400,7 +405,8 @@
             if self.core.leader is not None:
                 self._led_at = self.clock.monotonic()
             elif not self.expects_leader():
-                # whoever waits may ask elsewhere; a hand-over takes less than this
+                # fail all waiting callers, so that they can ask another replica; a
+                # transfer of the leadership takes less time than this
                 self._driver.waiters.fail()
                 self._answers.fail()
 
@@ -421,9 +427,10 @@
             self._spawn(self._repair.take_spare(spare))
 
     def _hasten_election(self) -> None:
-        """Let the voters that are linked ask for votes one after the other.
+        """Start an early pre-vote when it is this replica's turn.
 
-        One a round, so that two that start together don't share the votes.
+        The voters that are linked to a quorum do so in the order of their ids, one per
+        round, so that two that start together don't split the votes.
         """
         linked = self._list_linked()
         quorum = has_quorum(self.core.configuration.voters, linked)
--- a/src/ibishead/control/replication.py
+++ b/src/ibishead/control/replication.py
@@ -1,4 +1,4 @@
-"""How a leader brings its log to the others, and what it may say is committed."""
+"""Log replication from the leader to its followers, commitment, reads and leases."""
 
 from collections.abc import Iterable
 
@@ -39,7 +39,7 @@
 
 
 def append_command(state: RaftState, kind: EntryKind, data: bytes) -> LogIndex:
-    """Add an entry of the leader's term, and return its index."""
+    """Append an entry of the leader's current term, and return its index."""
     index = LogIndex(state.log.last_index + 1)
     state.append([Entry(index, state.term, kind, data)])
     state.heartbeat_due = True
@@ -49,25 +49,28 @@
 
 
 def append_empty(state: RaftState) -> None:
-    """Begin a term with an entry that commits its predecessors' entries."""
+    """Append the empty entry that starts a leader's term.
+
+    Its commitment also commits all entries of earlier terms before it.
+    """
     state.own_term_index = append_command(state, EntryKind.EMPTY, b"")
 
 
 def broadcast(state: RaftState) -> None:
-    """Send everyone what is new, at least a heartbeat."""
+    """Send new entries to all peers, or a heartbeat where there are none."""
     state.heartbeat_due = False
     for peer in state.peers:
         _send_append(state, peer, state.progress[peer])
 
 
 def begin_read(state: RaftState, context: int) -> None:
-    """Note a read, to be confirmed by the next heartbeat round.
+    """Register a read, to be confirmed by the next heartbeat round.
 
-    An old leader that doesn't know of its successor would serve state that others
-    have overwritten; the round proves that it still led after the read had begun.
+    A deposed leader that doesn't know of its successor would return outdated state. An
+    answered round proves that it still led after the read was requested.
     """
     if state.commit < state.own_term_index:
-        # a new leader doesn't know yet how far its predecessors had committed
+        # a new leader doesn't know yet what its predecessors had committed
         state.early_reads.append(context)
         return
     state.round += 1
@@ -79,7 +82,7 @@
 def handle_append_answer(
     state: RaftState, sender: ReplicaId, answer: AppendAnswer
 ) -> None:
-    """Take in how far a follower is."""
+    """Update the progress of a follower from its answer."""
     progress = state.progress.get(sender)
     if progress is None or answer.term != state.term:
         return
@@ -95,10 +98,11 @@
 
 
 def advance_commit(state: RaftState) -> None:
-    """Raise the commit index to what a quorum holds on disk.
+    """Raise the commit index to the last entry that is durable on a quorum.
 
-    Only an entry of the leader's own term may be counted: an older one on a quorum
-    can still be overwritten by a leader that never saw it.
+    Only entries of the leader's own term are committed by counting replicas: an entry
+    of an older term can be on a quorum and still be overwritten by a leader that
+    doesn't have it.
     """
     matches = [
         state.durable if voter == state.replica else state.progress[voter].match
@@ -112,7 +116,7 @@
 
 
 def quorum_age(state: RaftState) -> int:
-    """Return the ticks since which a quorum is known to have followed this leader."""
+    """Return the ticks since a quorum last followed this leader for certain."""
     contacts = [
         state.now if voter == state.replica else state.progress[voter].contact
         for voter in state.configuration.voters
@@ -121,7 +125,10 @@
 
 
 def hand_over(state: RaftState) -> None:
-    """Ask the chosen successor to take over, once it holds the whole log."""
+    """Ask the chosen successor to take over once it holds the whole log.
+
+    The transfer is abandoned at its deadline.
+    """
     successor = state.successor
     if successor is None:
         return
@@ -132,25 +139,25 @@
 
 
 def _follow_configuration(state: RaftState) -> None:
-    following = state.log.last_index + 1
+    next_index = state.log.last_index + 1
     members = state.peers
     for peer in members:
-        state.progress.setdefault(peer, Progress(following))
-    for gone in set(state.progress).difference(members):
-        del state.progress[gone]
+        state.progress.setdefault(peer, Progress(next_index))
+    for removed in set(state.progress).difference(members):
+        del state.progress[removed]
 
 
 def _take_match(
     state: RaftState, peer: ReplicaId, progress: Progress, index: LogIndex
 ) -> None:
     progress.installing = -1
-    moved = index > progress.match
-    if moved:
+    advanced = index > progress.match
+    if advanced:
         progress.match = index
     progress.next = max(progress.next, index + 1)
     if progress.probing and index + 1 >= progress.next:
         progress.probing = False
-    if moved:
+    if advanced:
         advance_commit(state)
         hand_over(state)
     if progress.next <= min(state.log.last_index, progress.match + state.timing.window):
@@ -158,13 +165,13 @@
 
 
 def _step_back(state: RaftState, progress: Progress, answer: AppendAnswer) -> None:
-    following = answer.hint_index
+    next_index = answer.hint_index
     if answer.hint_term:
         found = state.log.last_of_term(answer.hint_term, answer.index + 1)
         if found is not None:
-            following = LogIndex(found + 1)
-    following = min(following, answer.index)
-    progress.next = max(following, progress.match + 1)
+            next_index = LogIndex(found + 1)
+    next_index = min(next_index, answer.index)
+    progress.next = max(next_index, progress.match + 1)
     progress.probing = True
 
 
@@ -196,8 +203,8 @@
 
 
 def _send_snapshot(state: RaftState, peer: ReplicaId, progress: Progress) -> None:
-    waited = state.now - progress.installing
-    if progress.installing >= 0 and waited < state.timing.election:
+    elapsed = state.now - progress.installing
+    if progress.installing >= 0 and elapsed < state.timing.election:
         return
     progress.installing = state.now
     state.send(peer, Install(state.term, state.log.snapshot, state.round, state.now))
@@ -226,10 +233,10 @@
 
 
 def handle_append(state: RaftState, sender: ReplicaId, message: Append) -> None:
-    """Take entries from the leader, or say where the logs part."""
+    """Append entries from the leader, or answer where the logs diverge."""
     _note_lease(state, message)
     if message.prev_index < state.commit:
-        # committed entries can't differ, so say what is held and skip the rest
+        # committed entries can't conflict: acknowledge those and ignore the message's
         _accept(state, sender, message, state.commit)
         return
     if state.log.term_at(message.prev_index) != message.prev_term:
@@ -242,7 +249,7 @@
 
 
 def handle_install(state: RaftState, sender: ReplicaId, message: Install) -> None:
-    """Take the leader's snapshot where it is ahead of what was applied."""
+    """Install the leader's snapshot if it is ahead of the commit index."""
     if message.snapshot.index > state.commit:
         state.install(message.snapshot)
     _accept(state, sender, message, state.commit)
@@ -256,7 +263,7 @@
         return
     if rest[0].index <= state.commit:
         raise StorageFault(
-            f"the leader contradicts committed entry {rest[0].index}",
+            f"the leader's entry {rest[0].index} conflicts with a committed entry",
             "stop this replica, give it an empty data folder and run "
             "`ibishead replace` for it",
         )
@@ -295,10 +302,11 @@
 
 
 def _note_lease(state: RaftState, message: Append) -> None:
-    """Count the lease from the tick of one's own that the leader has seen.
+    """Record the lease that starts at the latest own tick that the leader echoed.
 
-    A message may have been on its way for long, so its arrival proves nothing; the
-    echo proves that the leader still had its quorum after that tick.
+    A message may have been delayed, so its arrival time proves nothing. The echo proves
+    that the message was sent after that tick, and ``quorum_age`` says how many ticks
+    before it was sent a quorum still followed the leader.
     """
     if message.echo_tick < 0:
         return
--- a/src/ibishead/control/storage.py
+++ b/src/ibishead/control/storage.py
@@ -1,7 +1,7 @@
-"""The log, the vote and the snapshot of one replica on its disk.
+"""Durable storage of one replica's log, vote and snapshot.
 
-The log is a row of segment files. Each write is one record and is synced before
-`Storage.write` returns; a snapshot lets the segments before it go.
+The log consists of numbered segment files. Each write is one record and is synced
+before `Storage.write` returns. Segments that a snapshot covers are removed.
 """
 
 import logging
@@ -23,7 +23,7 @@
 _LOGGER = logging.getLogger(__name__)
 _SEGMENT = re.compile(r"log-(\d{12})")
 _SNAPSHOT = re.compile(r"snapshot-(\d{20})")
-#: A new segment begins behind this size in bytes, so that old ones can be dropped.
+#: Size in bytes beyond which a new segment is started, so that old ones can be removed.
 _SEGMENT_BYTES = 8 * 1024 * 1024
 _REMEDY = (
     "keep a copy of the folder, then start this replica with an empty one and run "
@@ -32,9 +32,9 @@
 
 
 class _LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One write: the vote, and entries that replace all from the first one on.
+    """One write: term and vote, and entries that replace all from the first one on.
 
-    :param reset: nothing that stood in the log before counts any more.
+    :param reset: all earlier entries of the log are void.
     """
 
     term: Term
@@ -44,16 +44,17 @@
 
 
 class Storage:
-    """What a replica keeps on its disk.
+    """The durable state of a replica.
 
     :param files: the data folder.
-    :param identity: whose it is; its founders hold before any entry says otherwise.
+    :param identity: the replica's identity; its founders are the voters until the log
+        holds another replica set.
     """
 
     def __init__(self, files: Files, identity: Identity) -> None:
         self._files = files
         self._identity = identity
-        #: Highest entry index in each segment, in order.
+        #: Highest entry index in each segment, by segment number.
         self._segments: dict[int, int] = {}
         self._current = 0
         self._size = 0
@@ -62,9 +63,9 @@
         self._vote: tuple[Term, ReplicaId | None] = (Term(0), None)
 
     def load(self) -> Stored:
-        """Return what the disk holds.
+        """Return the stored state.
 
-        A torn last record was never answered for, so it is cut off.
+        A torn last record was never acknowledged, so it is truncated.
 
         :raises StorageFault: anything else is damaged or missing.
         """
@@ -82,22 +83,22 @@
                 self._vote = (record.term, record.vote)
                 highest = max([highest, *(e.index for e in record.entries)])
             self._segments[number] = highest
-        kept = _entries_after(snapshot, entries)
+        remaining = _entries_after(snapshot, entries)
         if numbers:
             self._current = numbers[-1]
         else:
             self._begin_segment()
-        if entries and not kept:
-            # what comes next doesn't follow on the entries that were left out
+        if entries and not remaining:
+            # the next entries won't continue the ones that were discarded here
             self._append(_LogRecord(*self._vote, reset=True))
-        return Stored(*self._vote, snapshot, kept)
+        return Stored(*self._vote, snapshot, remaining)
 
     def write(self, write: Write) -> None:
-        """Put a write on the disk, and return once it is synced.
+        """Perform a write, and return once it is synced.
 
-        :raises StorageFault: code ``STORAGE_FULL`` when there was no room, and the
-            same write may be tried again; any other code is final, as nothing is
-            known of the disk any more.
+        :raises StorageFault: code ``STORAGE_FULL`` if the disk is full, and the same
+            write may be retried; any other code is final, as the content of the disk is
+            unknown from then on.
         """
         if self._failed:
             raise StorageFault("the disk has failed before", _REMEDY)
@@ -131,7 +132,7 @@
         self._current = max(self._segments, default=0) + 1
         self._segments[self._current] = 0
         self._size = 0
-        # the vote goes along, as the segments that hold it may be dropped
+        # repeat term and vote, as the segments that hold them may be removed
         self._append(_LogRecord(*self._vote))
         self._files.sync_names()
 
@@ -140,7 +141,8 @@
             if number == self._current or self._segments[number] > index:
                 break
             self._files.remove(_segment_name(number))
-            # in order, lest a crash brings back an old one behind a gap
+            # sync each removal, so that a crash can't restore an older segment only,
+            # which would leave a gap
             self._files.sync_names()
             del self._segments[number]
         for found in _numbers(self._files, _SNAPSHOT):
@@ -184,7 +186,7 @@
 
     def _cut(self, name: str, offset: int, size: int) -> None:
         _LOGGER.warning(
-            "cut off a torn record of %d bytes at byte %d of %s; it was never answered",
+            "truncated a torn record of %d bytes at byte %d of %s, never acknowledged",
             size - offset,
             offset,
             name,
@@ -208,10 +210,10 @@
 
 
 def _entries_after(snapshot: Snapshot, entries: list[Entry]) -> tuple[Entry, ...]:
-    """Return the entries that follow on a snapshot.
+    """Return the entries after a snapshot, none if the log doesn't continue it.
 
-    A crash may have come between a leader's snapshot and the record that resets the
-    log: what is found then conflicts with the snapshot or ends before it.
+    A crash between the storage of a leader's snapshot and the record that resets the
+    log leaves entries that conflict with the snapshot or end before it.
     """
     if not entries or entries[-1].index < snapshot.index:
         return ()
