--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -96,7 +96,7 @@
     Guard(
         "haste in elections deposes nobody",
         "control/election.py",
-        "    if _hears_leader(state) and not request.transfer:",
+        "    if _has_live_leader(state) and not request.transfer:",
         "    if False:",
         ("tests/test_consensus.py::test_haste_leaves_a_leader_alone",),
     ),
--- a/benchmarks/without.py
+++ b/benchmarks/without.py
@@ -49,7 +49,9 @@
     # requests that no engine begins wait until their deadline
     "refusal": (("gateway.choosing", "REFUSE_FACTOR", 1e6),),
     # voters wait out a silence after a start
-    "early-election": (("control.consensus", "Consensus.hasten", lambda *_: None),),
+    "early-election": (
+        ("control.consensus", "Consensus.campaign_early", lambda *_: None),
+    ),
     # engines are known once they announce themselves
     "naming": (("steward.naming", "EngineNamer._is_unknown", lambda *_: False),),
     # Ways that anybody would begin with, in place of the choice by expected delay.
--- a/src/ibishead/control/consensus.py
+++ b/src/ibishead/control/consensus.py
@@ -1,9 +1,9 @@
 """The Raft consensus algorithm of the replicated log, without any I/O.
 
 The caller feeds in messages, ticks and proposals, and collects messages to send and
-writes to perform with `take`. It syncs each `Write` to disk and reports that with
-`synced`; outputs that depend on the write are returned by the next `take`. All
-proposals between two calls of `take` share one write and one message per follower.
+writes to perform with `take_outputs`. It syncs each `Write` to disk and reports that
+with `synced`; outputs that depend on the write are returned by the next `take_outputs`.
+All proposals between two of these calls share one write and one message per follower.
 """
 
 from collections.abc import Callable, Sequence
@@ -164,9 +164,9 @@
         elif state.now >= state.deadline:
             election.pre_campaign(state)
 
-    def hasten(self) -> None:
+    def campaign_early(self) -> None:
         """Start a pre-vote now if no leader has been known since startup."""
-        election.hasten(self._state)
+        election.campaign_early(self._state)
 
     def step(self, sender: ReplicaId, message: PeerMessage) -> None:
         """Process a message from a replica.
@@ -242,7 +242,7 @@
             return None
         state.successor = max(candidates)[1]
         state.successor_deadline = state.now + state.timing.election
-        replication.hand_over(state)
+        replication.send_take_over(state)
         return state.successor
 
     def synced(self, token: int) -> None:
@@ -265,10 +265,10 @@
 
     # Outputs -----------------------------------------------------------------
 
-    def take(self) -> list[Output]:
+    def take_outputs(self) -> list[Output]:
         """Remove and return the pending outputs, to be performed in order."""
         state = self._state
-        self._deliver_own()
+        self._deliver_to_self()
         if state.role is Role.LEADER and state.heartbeat_due:
             replication.broadcast(state)
         state.issue_write()
@@ -281,7 +281,7 @@
         election.check_quorum(state)
         if state.role is not Role.LEADER:
             return
-        replication.hand_over(state)
+        replication.send_take_over(state)
         if state.now % state.timing.heartbeat == 0:
             state.heartbeat_due = True
 
@@ -305,7 +305,7 @@
             case Install():
                 replication.handle_install(state, sender, message)
 
-    def _deliver_own(self) -> None:
+    def _deliver_to_self(self) -> None:
         """Process the messages that this replica sent to itself, which are votes."""
         state = self._state
         while own := [o for o in state.outputs if _is_for(o, state.replica)]:
--- a/src/ibishead/control/driver.py
+++ b/src/ibishead/control/driver.py
@@ -131,15 +131,15 @@
         self._clock = clock
         self._draw = draw
         self._on_failure = on_failure
-        self._flush_due = False
-        self._write_due = False
-        self._unwritten: list[Write] = []
-        self._stuck = False
+        self._flush_scheduled = False
+        self._write_scheduled = False
+        self._pending_writes: list[Write] = []
+        self._write_blocked = False
         self._snapshot_index = 0
         self._applied_bytes = 0
-        self._room = False
+        self._has_free_space = False
         self._leader: ReplicaId | None = None
-        self._ticked = clock.monotonic()
+        self._last_tick = clock.monotonic()
         self.load(identity)
 
     def load(self, identity: Identity) -> None:
@@ -151,7 +151,7 @@
         self._storage = Storage(self._files, identity)
         stored = self._storage.load()
         self.core = Consensus(identity.replica, stored, self.pace.timing, self._draw)
-        self._ticked = self._clock.monotonic()
+        self._last_tick = self._clock.monotonic()
         if stored.snapshot.index:
             self._restore(stored.snapshot)
 
@@ -163,22 +163,22 @@
         replaced before it answers. Ticks beyond three election timeouts are skipped, as
         they make no difference.
         """
-        due = int((self._clock.monotonic() - self._ticked) / self.pace.tick)
-        if due <= 0 or self.failed:
+        due_ticks = int((self._clock.monotonic() - self._last_tick) / self.pace.tick)
+        if due_ticks <= 0 or self.failed:
             return 0
-        self._ticked += due * self.pace.tick
-        for _ in range(min(due, 3 * self.pace.timing.election)):
+        self._last_tick += due_ticks * self.pace.tick
+        for _ in range(min(due_ticks, 3 * self.pace.timing.election)):
             self.core.tick()
-        self.waiters.expire(self._ticked)
+        self.waiters.expire(self._last_tick)
         self.schedule_flush()
-        if self._unwritten:
+        if self._pending_writes:
             self._schedule_write()
-        return due
+        return due_ticks
 
     def lease(self) -> float:
         """Return the seconds for which the applied state counts as current."""
         self.advance()
-        since = self._clock.monotonic() - self._ticked
+        since = self._clock.monotonic() - self._last_tick
         lease = self.core.lease() * self.pace.tick - since
         return 0.0 if self.failed else max(0.0, lease)
 
@@ -190,31 +190,33 @@
             self.fail(fault)
         self.schedule_flush()
 
-    def has_room(self) -> bool:
+    def has_space(self) -> bool:
         """Return whether no write is blocked by a full disk and there is free space.
 
         The result is cached until the next flush: all proposals before it share one
         write.
         """
-        if not self._room:
-            self._room = self._files.free_bytes() >= self.pace.reserve
+        if not self._has_free_space:
+            self._has_free_space = self._files.free_bytes() >= self.pace.reserve
             self.schedule_flush()
-        return self._room and not self._stuck
+        return self._has_free_space and not self._write_blocked
 
     def wait_for(self, index: LogIndex, term: Term) -> asyncio.Future[bytes]:
         """Return a future for the result of an entry that was just proposed."""
         self.schedule_flush()
-        return self.waiters.add_proposal(index, term, self._ticked + self.pace.answer)
+        return self.waiters.add_proposal(
+            index, term, self._last_tick + self.pace.answer
+        )
 
     def schedule_flush(self) -> None:
         """Perform the outputs of the consensus after the callbacks already queued."""
-        if not self._flush_due and not self.failed:
-            self._flush_due = True
+        if not self._flush_scheduled and not self.failed:
+            self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self._flush_due = self._room = False
-        while outputs := self.core.take():
+        self._flush_scheduled = self._has_free_space = False
+        while outputs := self.core.take_outputs():
             for output in outputs:
                 self._perform(output)
         self._take_snapshot()
@@ -237,7 +239,7 @@
             case Send(to, message):
                 self._links.send(self.identity, to, message)
             case Write():
-                self._unwritten.append(output)
+                self._pending_writes.append(output)
                 self._schedule_write()
             case Apply(entries):
                 for entry in entries:
@@ -245,26 +247,26 @@
             case Restore(snapshot):
                 self._restore(snapshot)
             case ReadReady(context, index):
-                self._answer_read(context, index)
+                self._complete_read(context, index)
             case ReadRefused(context):
-                self._answer_read(context, None)
+                self._complete_read(context, None)
 
     def _schedule_write(self) -> None:
         # let the links' writer tasks run first, so that followers sync concurrently
-        if not self._write_due:
-            self._write_due = True
+        if not self._write_scheduled:
+            self._write_scheduled = True
             asyncio.get_running_loop().call_soon(self._write)
 
     def _write(self) -> None:
-        self._write_due = self._stuck = False
+        self._write_scheduled = self._write_blocked = False
         try:
-            while self._unwritten and not self.failed:
-                self._storage.write(self._unwritten[0])
-                self.core.synced(self._unwritten.pop(0).token)
+            while self._pending_writes and not self.failed:
+                self._storage.write(self._pending_writes[0])
+                self.core.synced(self._pending_writes.pop(0).token)
         except StorageFault as fault:
             if fault.code is ErrorCode.STORAGE_FULL:
                 # nothing was acknowledged; the write is retried with the next tick
-                self._stuck = True
+                self._write_blocked = True
                 logger.warning(
                     "disk full, write to the control log will be retried",
                     extra={"reason": str(fault)},
@@ -280,7 +282,7 @@
         self.failed = fault
         self.waiters.fail()
         for context in list(self.reads):
-            self._answer_read(context, None)
+            self._complete_read(context, None)
         self._on_failure(fault)
 
     def _apply(self, entry: Entry) -> None:
@@ -296,15 +298,15 @@
         self._snapshot_index = snapshot.index
         self.waiters.note_restored(snapshot.index)
 
-    def _answer_read(self, context: int, index: LogIndex | None) -> None:
+    def _complete_read(self, context: int, index: LogIndex | None) -> None:
         future = self.reads.pop(context, None)
         if future is not None and not future.done():
             future.set_result(index)
 
     def _take_snapshot(self) -> None:
         applied = self.core.applied
-        due = applied - self._snapshot_index >= self.pace.snapshot_entries
-        if due or self._applied_bytes >= self.pace.snapshot_bytes:
+        enough_entries = applied - self._snapshot_index >= self.pace.snapshot_entries
+        if enough_entries or self._applied_bytes >= self.pace.snapshot_bytes:
             self.core.compact(applied, self._machine.capture())
             self._snapshot_index = applied
             self._applied_bytes = 0
--- a/src/ibishead/control/election.py
+++ b/src/ibishead/control/election.py
@@ -18,14 +18,14 @@
     "handle_request_vote",
     "handle_take_over",
     "handle_vote_answer",
-    "hasten",
+    "campaign_early",
     "pre_campaign",
     "reset_deadline",
 ]
 
 
 #: A pre-vote without a quorum is repeated after the election timeout divided by this.
-ASK_AGAIN = 3
+PRE_VOTE_RETRY_DIVISOR = 3
 
 
 def reset_deadline(state: RaftState) -> None:
@@ -40,7 +40,7 @@
     """
     state.contact = state.now
     span = state.timing.election
-    if state.timing.first and not state.settled:
+    if state.timing.first and not state.leader_seen:
         span = min(span, state.timing.first * (1 + state.attempts))
     state.deadline = state.now + span + state.draw(span)
 
@@ -55,14 +55,14 @@
         state.set_term(term, None)
     state.role = Role.FOLLOWER
     state.leader = leader
-    state.settled = state.settled or leader is not None
+    state.leader_seen = state.leader_seen or leader is not None
     state.successor = None
     state.votes.clear()
     state.progress.clear()
-    waiting = [read.context for read in state.reads] + state.early_reads
+    waiting = [read.context for read in state.reads] + state.deferred_reads
     state.outputs += [ReadRefused(context) for context in waiting]
     state.reads.clear()
-    state.early_reads.clear()
+    state.deferred_reads.clear()
     reset_deadline(state)
 
 
@@ -75,16 +75,16 @@
     state.attempts += 1
     reset_deadline(state)
     # a voter that last heard from the leader slightly later still ignores this request
-    wait = max(1, state.timing.election // ASK_AGAIN)
+    wait = max(1, state.timing.election // PRE_VOTE_RETRY_DIVISOR)
     state.deadline = min(state.deadline, state.now + wait + state.draw(wait))
     state.leader = None
     if not state.is_voter():
         return
     state.role = Role.PRE_CANDIDATE
-    _ask_votes(state, Term(state.term + 1), pre=True)
+    _request_votes(state, Term(state.term + 1), pre=True)
 
 
-def hasten(state: RaftState) -> None:
+def campaign_early(state: RaftState) -> None:
     """Start a pre-vote before the deadline if no leader was known since startup.
 
     Replicas that are started together have no leader whose timeout must pass. An early
@@ -92,7 +92,7 @@
     a pre-vote changes no term.
     """
     campaigning = state.role in (Role.CANDIDATE, Role.LEADER)
-    if campaigning or state.settled or not state.timing.first:
+    if campaigning or state.leader_seen or not state.timing.first:
         return
     attempts = state.attempts
     pre_campaign(state)
@@ -112,19 +112,19 @@
         return
     state.role = Role.CANDIDATE
     state.set_term(Term(state.term + 1), state.replica)
-    _ask_votes(state, state.term, transfer=transfer)
+    _request_votes(state, state.term, transfer=transfer)
 
 
 def handle_request_vote(
     state: RaftState, sender: ReplicaId, request: RequestVote
 ) -> None:
     """Grant or refuse a vote; ignore the request while in contact with a leader."""
-    if _hears_leader(state) and not request.transfer:
+    if _has_live_leader(state) and not request.transfer:
         return
     if request.pre:
         granted = request.term > state.term and _is_up_to_date(state, request)
         if granted and state.role is Role.PRE_CANDIDATE:
-            granted = _gives_way(state, sender, request)
+            granted = _yields_to(state, sender, request)
         term = request.term if granted else state.term
         state.send(sender, VoteAnswer(term, granted, pre=True))
         return
@@ -141,7 +141,7 @@
     state.send_synced(sender, VoteAnswer(state.term, granted))
 
 
-def _gives_way(state: RaftState, rival: ReplicaId, request: RequestVote) -> bool:
+def _yields_to(state: RaftState, rival: ReplicaId, request: RequestVote) -> bool:
     """Abandon the own pre-vote if the rival has precedence, and return whether so.
 
     The more complete log has precedence or, between equal ones, the greater replica id.
@@ -203,7 +203,7 @@
         become_follower(state, state.term, None)
 
 
-def _ask_votes(
+def _request_votes(
     state: RaftState, term: Term, *, pre: bool = False, transfer: bool = False
 ) -> None:
     log = state.log
@@ -223,7 +223,7 @@
 def _become_leader(state: RaftState) -> None:
     state.role = Role.LEADER
     state.leader = state.replica
-    state.settled = True
+    state.leader_seen = True
     state.votes.clear()
     state.elected = state.now
     next_index = state.log.last_index + 1
@@ -231,7 +231,7 @@
     replication.append_empty(state)
 
 
-def _hears_leader(state: RaftState) -> bool:
+def _has_live_leader(state: RaftState) -> bool:
     if state.role is Role.LEADER:
         return True
     fresh = state.now - state.contact < state.timing.election
--- a/src/ibishead/control/folder.py
+++ b/src/ibishead/control/folder.py
@@ -10,15 +10,15 @@
 
 __all__ = ["DataFolder", "Files"]
 
-_LOCK = "lock"
-_FULL = (errno.ENOSPC, errno.EDQUOT)
+_LOCK_FILE = "lock"
+_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 class Files(Protocol):
     """The file operations that `Storage` needs, by names of files in one folder.
 
-    Nothing is durable before its sync: `sync` for a file's content, `sync_names` for
-    the creation, renaming and removal of files.
+    Nothing is durable before its sync: `sync` for a file's content, `sync_directory`
+    for the creation, renaming and removal of files.
     """
 
     def names(self) -> list[str]:
@@ -48,7 +48,7 @@
     def remove(self, name: str) -> None:
         """Remove a file."""
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Make created, renamed and removed file names durable.
 
         :raises StorageFault: the disk failed.
@@ -64,20 +64,22 @@
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._open: dict[str, int] = {}
-        self._lock = -1
+        self._descriptors: dict[str, int] = {}
+        self._lock_descriptor = -1
         try:
             if not path.is_dir():
                 path.mkdir(parents=True)
-                _sync_path(path.parent)
-            self._lock = os.open(path / _LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+                _sync_directory(path.parent)
+            self._lock_descriptor = os.open(
+                path / _LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600
+            )
         except OSError as error:
-            raise _fault(error, f"can't open the data folder {path}") from error
+            raise _make_fault(error, f"can't open the data folder {path}") from error
         try:
             # two processes on one folder could vote twice in a term
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
-            os.close(self._lock)
+            os.close(self._lock_descriptor)
             raise StorageFault(
                 f"the data folder {path} is in use by another process",
                 "stop the other ibishead-control, or give each its own data folder",
@@ -86,14 +88,14 @@
 
     def names(self) -> list[str]:
         """Return the names of all files except the lock file, sorted."""
-        return sorted(p.name for p in self._path.iterdir() if p.name != _LOCK)
+        return sorted(p.name for p in self._path.iterdir() if p.name != _LOCK_FILE)
 
     def read(self, name: str) -> bytes:
         """Return a file's content."""
         try:
             return (self._path / name).read_bytes()
         except OSError as error:
-            raise _fault(error, f"can't read {self._path / name}") from error
+            raise _make_fault(error, f"can't read {self._path / name}") from error
 
     def append(self, name: str, data: bytes) -> None:
         """Append to a file, creating it if it is missing.
@@ -101,10 +103,10 @@
         :raises StorageFault: code ``STORAGE_FULL``, and the file is unchanged.
         """
         try:
-            descriptor = self._descriptor(name)
+            descriptor = self._open_file(name)
             size = os.fstat(descriptor).st_size
         except OSError as error:
-            raise _fault(error, f"can't open {self._path / name}") from error
+            raise _make_fault(error, f"can't open {self._path / name}") from error
         try:
             rest = memoryview(data)
             while rest:
@@ -112,14 +114,14 @@
         except OSError as error:
             # remove the part that was written, or the next record would follow it
             self.truncate(name, size)
-            raise _fault(error, f"can't write {self._path / name}") from error
+            raise _make_fault(error, f"can't write {self._path / name}") from error
 
     def truncate(self, name: str, size: int) -> None:
         """Truncate a file to a size in bytes."""
         try:
-            os.ftruncate(self._descriptor(name), size)
+            os.ftruncate(self._open_file(name), size)
         except OSError as error:
-            raise _fault(error, f"can't truncate {self._path / name}") from error
+            raise _make_fault(error, f"can't truncate {self._path / name}") from error
 
     def sync(self, name: str) -> None:
         """Make a file's content durable.
@@ -127,36 +129,36 @@
         :raises StorageFault: the disk failed, and the content on it is unknown.
         """
         try:
-            os.fsync(self._descriptor(name))
+            os.fsync(self._open_file(name))
         except OSError as error:
-            raise _sync_fault(error, self._path / name) from error
+            raise _make_sync_fault(error, self._path / name) from error
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file, replacing any file of the new name."""
-        self._forget(old)
-        self._forget(new)
+        self._close_file(old)
+        self._close_file(new)
         try:
             (self._path / old).replace(self._path / new)
         except OSError as error:
-            raise _fault(error, f"can't rename {self._path / old}") from error
+            raise _make_fault(error, f"can't rename {self._path / old}") from error
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        self._forget(name)
+        self._close_file(name)
         try:
             (self._path / name).unlink()
         except OSError as error:
-            raise _fault(error, f"can't remove {self._path / name}") from error
+            raise _make_fault(error, f"can't remove {self._path / name}") from error
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Make created, renamed and removed file names durable.
 
         :raises StorageFault: the disk failed.
         """
         try:
-            _sync_path(self._path)
+            _sync_directory(self._path)
         except OSError as error:
-            raise _sync_fault(error, self._path) from error
+            raise _make_sync_fault(error, self._path) from error
 
     def free_bytes(self) -> int:
         """Return the free space on the disk in bytes."""
@@ -165,25 +167,25 @@
 
     def close(self) -> None:
         """Close all files and release the lock."""
-        for name in list(self._open):
-            self._forget(name)
-        if self._lock >= 0:
-            os.close(self._lock)
-            self._lock = -1
-
-    def _descriptor(self, name: str) -> int:
-        if name not in self._open:
+        for name in list(self._descriptors):
+            self._close_file(name)
+        if self._lock_descriptor >= 0:
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = -1
+
+    def _open_file(self, name: str) -> int:
+        if name not in self._descriptors:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-            self._open[name] = os.open(self._path / name, flags, 0o600)
-        return self._open[name]
+            self._descriptors[name] = os.open(self._path / name, flags, 0o600)
+        return self._descriptors[name]
 
-    def _forget(self, name: str) -> None:
-        descriptor = self._open.pop(name, None)
+    def _close_file(self, name: str) -> None:
+        descriptor = self._descriptors.pop(name, None)
         if descriptor is not None:
             os.close(descriptor)
 
 
-def _sync_path(path: Path) -> None:
+def _sync_directory(path: Path) -> None:
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -191,7 +193,7 @@
         os.close(descriptor)
 
 
-def _sync_fault(error: OSError, path: Path) -> StorageFault:
+def _make_sync_fault(error: OSError, path: Path) -> StorageFault:
     # after a failed sync the kernel may mark the lost pages as clean, and a second sync
     # would succeed without writing them; so this error code must never be retried
     return StorageFault(
@@ -200,8 +202,8 @@
     )
 
 
-def _fault(error: OSError, problem: str) -> StorageFault:
-    if error.errno in _FULL:
+def _make_fault(error: OSError, problem: str) -> StorageFault:
+    if error.errno in _FULL_ERRNOS:
         return StorageFault(
             f"{problem}: the disk is full",
             "free some space on it; nothing that was accepted is lost",
--- a/src/ibishead/control/force.py
+++ b/src/ibishead/control/force.py
@@ -13,19 +13,19 @@
 from ibishead.control.state import ControlState
 from ibishead.ids import HostId, LogIndex, ReplicaId
 
-__all__ = ["ForceTracker", "SURE_LIMIT"]
+__all__ = ["ForceTracker", "LEASE_LIMIT_SECONDS"]
 
 #: Longest lease in seconds of a replica that has lost its leader, for which its state
 #: still counts as current.
-REPLICA_LEASE = 2.0
+REPLICA_LEASE_SECONDS = 2.0
 
 #: Seconds after which no holder can have a lease from a replica that hasn't applied a
 #: change: first the replica's own lease ends, then those that it granted.
-SURE_LIMIT = REPLICA_LEASE + LEASE
+LEASE_LIMIT_SECONDS = REPLICA_LEASE_SECONDS + LEASE
 
 #: Number of changes whose time of application is stored; older ones were applied before
 #: the oldest of these.
-MOMENTS_KEPT = 1024
+MAX_APPLY_TIMES = 1024
 
 
 class ForceTracker:
@@ -46,25 +46,27 @@
         self._publisher = publisher
         self._relay = relay
         self._clock = clock
-        self._members: dict[ReplicaId, float] = {}
+        self._recent_replicas: dict[ReplicaId, float] = {}
         # changes applied before this process started count from now on
-        self._moments = deque([(LogIndex(0), clock.monotonic())], MOMENTS_KEPT)
+        self._apply_times = deque([(LogIndex(0), clock.monotonic())], MAX_APPLY_TIMES)
 
     def note_change(self) -> None:
         """Record the time at which this replica applied its latest change."""
-        self._moments.append((self._state.changed, self._clock.monotonic()))
+        self._apply_times.append((self._state.changed, self._clock.monotonic()))
 
     def note_replicas(self) -> None:
         """Record the current members of the replica set; to be called every round."""
         now = self._clock.monotonic()
         replicas = self._replica.replicas()
-        self._members |= dict.fromkeys((*replicas.voters, *replicas.learners), now)
+        self._recent_replicas |= dict.fromkeys(
+            (*replicas.voters, *replicas.learners), now
+        )
         # Failure: a replica is removed from the set while holders still have leases
         # from it. It is asked until the last of these must have ended.
-        self._members = {
+        self._recent_replicas = {
             replica: seen
-            for replica, seen in self._members.items()
-            if now - seen <= SURE_LIMIT
+            for replica, seen in self._recent_replicas.items()
+            if now - seen <= LEASE_LIMIT_SECONDS
         }
 
     async def find_waiting(self, index: LogIndex) -> list[HostId]:
@@ -76,7 +78,7 @@
         """
         waiting = set(self._publisher.list_waiting(index))
         self.note_replicas()
-        for replica in list(self._members):
+        for replica in list(self._recent_replicas):
             if replica != self._name:
                 waiting.update(await self._ask(replica, index))
         return sorted(waiting)
@@ -87,13 +89,16 @@
             return set(answer.waiting)
         # Failure: a replica is unreachable and its holders use the old document, each
         # until its lease ends. They can't be asked, but no lease outlasts the limit.
-        if self._clock.monotonic() >= self._find_moment(index) + SURE_LIMIT:
+        if (
+            self._clock.monotonic()
+            >= self._find_apply_time(index) + LEASE_LIMIT_SECONDS
+        ):
             return set()
         known = self._state.replicas.get(replica)
         return {known.host if known is not None else HostId(replica)}
 
-    def _find_moment(self, index: LogIndex) -> float:
-        for changed, applied_at in self._moments:
+    def _find_apply_time(self, index: LogIndex) -> float:
+        for changed, applied_at in self._apply_times:
             if changed >= index:
                 return applied_at
-        return self._moments[-1][1]
+        return self._apply_times[-1][1]
--- a/src/ibishead/control/founding.py
+++ b/src/ibishead/control/founding.py
@@ -7,19 +7,19 @@
 from ibishead.control.identity import Identity, replica_host
 from ibishead.ids import HostId, ReplicaId
 
-__all__ = ["Acquaintance", "Founding"]
+__all__ = ["Founding", "KnownReplica"]
 
 
-class Acquaintance(msgspec.Struct, frozen=True):
+class KnownReplica(msgspec.Struct, frozen=True):
     """The latest introduction of the replica on another host.
 
     :param cluster: its cluster; empty if it has not joined one.
-    :param heard: monotonic time in seconds at which the introduction arrived.
+    :param introduced_at: monotonic time in seconds at which the introduction arrived.
     """
 
     replica: ReplicaId
     cluster: str
-    heard: float
+    introduced_at: float
 
 
 class Founding:
@@ -35,15 +35,15 @@
     ) -> None:
         self._first_hosts = sorted(first_hosts)
         self._draw_name = draw_name
-        self.known: dict[HostId, Acquaintance] = {}
+        self.known: dict[HostId, KnownReplica] = {}
 
-    def note(self, replica: ReplicaId, cluster: str, now: float) -> None:
+    def record_introduction(self, replica: ReplicaId, cluster: str, now: float) -> None:
         """Record the introduction of a replica.
 
         :param now: monotonic time in seconds.
         """
         host = replica_host(replica)
-        self.known[host] = Acquaintance(replica, cluster, now)
+        self.known[host] = KnownReplica(replica, cluster, now)
 
     def name_founders(self, hosts: Iterable[HostId]) -> None:
         """Set the hosts of the initial voters, of which the first founds the cluster.
@@ -52,7 +52,7 @@
         """
         self._first_hosts = list(hosts)
 
-    def found(self, own: Identity) -> Identity | None:
+    def found_cluster(self, own: Identity) -> Identity | None:
         """Return the identity with which to found a cluster, None if it must not.
 
         Only the first of the initial hosts founds one, and only while none of them has
@@ -68,7 +68,7 @@
         founders = [own.replica, *(other.replica for other in others if other)]
         return Identity(own.replica, self._draw_name(), tuple(founders))
 
-    def join(
+    def join_cluster(
         self, own: Identity, cluster: str, founders: tuple[ReplicaId, ...]
     ) -> Identity | None:
         """Return the identity with which to join a founder's cluster, None if not due.
--- a/src/ibishead/control/identity.py
+++ b/src/ibishead/control/identity.py
@@ -5,22 +5,27 @@
 import msgspec
 
 from ibishead.control.folder import Files
-from ibishead.control.records import DamagedRecord, Record, frame, split
+from ibishead.control.records import (
+    DamagedRecord,
+    Record,
+    decode_records,
+    encode_record,
+)
 from ibishead.errors import StorageFault
 from ibishead.ids import HostId, ReplicaId
 
 __all__ = [
     "Identity",
     "load_identity",
-    "read_whole",
+    "read_checked",
     "replica_host",
     "save_identity",
-    "write_whole",
+    "write_atomically",
 ]
 
-_FILE = "identity"
-_UNFINISHED = ".new"
-_REPLACE = (
+_IDENTITY_FILE = "identity"
+_TEMPORARY_SUFFIX = ".new"
+_REMEDY = (
     "give this replica an empty data folder and run `ibishead replace` for the old one"
 )
 
@@ -50,16 +55,16 @@
     :raises StorageFault: the identity is damaged, missing or that of another host.
     """
     for name in files.names():
-        if name.endswith(_UNFINISHED):
+        if name.endswith(_TEMPORARY_SUFFIX):
             files.remove(name)
     names = files.names()
-    if _FILE not in names:
+    if _IDENTITY_FILE not in names:
         if names:
-            raise StorageFault("the data folder lost its identity file", _REPLACE)
+            raise StorageFault("the data folder lost its identity file", _REMEDY)
         identity = Identity(ReplicaId(f"{host}.{draw_name()}"))
         save_identity(files, identity)
         return identity
-    found = msgspec.msgpack.decode(read_whole(files, _FILE), type=Identity)
+    found = msgspec.msgpack.decode(read_checked(files, _IDENTITY_FILE), type=Identity)
     if replica_host(found.replica) != host:
         raise StorageFault(
             f"the data folder belongs to host {replica_host(found.replica)}",
@@ -70,7 +75,7 @@
 
 def save_identity(files: Files, identity: Identity) -> None:
     """Store an identity durably."""
-    write_whole(files, _FILE, msgspec.msgpack.encode(identity))
+    write_atomically(files, _IDENTITY_FILE, msgspec.msgpack.encode(identity))
 
 
 def replica_host(replica: ReplicaId) -> HostId:
@@ -78,27 +83,27 @@
     return HostId(replica.rpartition(".")[0] or replica)
 
 
-def write_whole(files: Files, name: str, payload: bytes) -> None:
+def write_atomically(files: Files, name: str, payload: bytes) -> None:
     """Replace a file atomically: a crash leaves either the old or the new content."""
-    temporary = name + _UNFINISHED
+    temporary = name + _TEMPORARY_SUFFIX
     if temporary in files.names():
         files.remove(temporary)
-    files.append(temporary, frame(payload))
+    files.append(temporary, encode_record(payload))
     files.sync(temporary)
     files.rename(temporary, name)
-    files.sync_names()
+    files.sync_directory()
 
 
-def read_whole(files: Files, name: str) -> bytes:
-    """Return the payload of a file written by `write_whole`.
+def read_checked(files: Files, name: str) -> bytes:
+    """Return the payload of a file written by `write_atomically`.
 
     :raises StorageFault: the file is damaged.
     """
     try:
-        found = list(split(files.read(name)))
+        found = list(decode_records(files.read(name)))
     except DamagedRecord:
         found = []
     match found:
         case [Record(payload)]:
             return payload
-    raise StorageFault(f"the file {name} in the data folder is damaged", _REPLACE)
+    raise StorageFault(f"the file {name} in the data folder is damaged", _REMEDY)
--- a/src/ibishead/control/membership.py
+++ b/src/ibishead/control/membership.py
@@ -22,7 +22,7 @@
 
 #: Number of superseded nonces stored per target. A registration is delayed by seconds
 #: at most, and no agent restarts this often within that time.
-NONCES_KEPT = 16
+MAX_SUPERSEDED_NONCES = 16
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
@@ -99,7 +99,7 @@
             record = member.record
         else:
             self._supersede(ask)
-            record = _describe(ask, Incarnation(index))
+            record = _make_record(ask, Incarnation(index))
         self.members[ask.target] = Member(record, ask.nonce, command.replica, index)
         return Registered(record.incarnation, index)
 
@@ -125,7 +125,7 @@
         if member is None or member.attachment != command.attachment:
             return Rejected(
                 ErrorCode.STALE_INCARNATION,
-                f"target {command.target} has attached again or was already retired",
+                f"target {command.target} has attached again or has ended",
                 "no action is needed",
             )
         del self.members[command.target]
@@ -148,11 +148,11 @@
         last = self._last_nonces.get(ask.target)
         if last is not None and last != ask.nonce:
             older = self._superseded.get(ask.target, ())
-            self._superseded[ask.target] = (*older, last)[-NONCES_KEPT:]
+            self._superseded[ask.target] = (*older, last)[-MAX_SUPERSEDED_NONCES:]
         self._last_nonces[ask.target] = ask.nonce
 
 
-def _describe(ask: AskRegistration, incarnation: Incarnation) -> TargetRecord:
+def _make_record(ask: AskRegistration, incarnation: Incarnation) -> TargetRecord:
     return TargetRecord(
         ask.target,
         incarnation,
--- a/src/ibishead/control/peering.py
+++ b/src/ibishead/control/peering.py
@@ -48,10 +48,10 @@
 PART_BYTES = 1024 * 1024
 
 #: Seconds between attempts to connect to a replica.
-REDIAL_INTERVAL = 0.2
+REDIAL_INTERVAL_SECONDS = 0.2
 
 #: Maximum size in bytes of a message that arrives in parts.
-MAX_MESSAGE = 1024 * 1024 * 1024
+MAX_MESSAGE_BYTES = 1024 * 1024 * 1024
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -191,7 +191,7 @@
     def _dial(self, host: HostId) -> None:
         if (previous := self._tasks.get(host)) is not None:
             previous.cancel()
-        self._tasks[host] = asyncio.create_task(self._keep(host))
+        self._tasks[host] = asyncio.create_task(self._maintain_link(host))
 
     def reaches(self, host: HostId) -> bool:
         """Return whether a link to the host is open."""
@@ -226,7 +226,7 @@
             link.send(PeerFrame(identity.cluster, sender, to, chunk, part, last))
         return True
 
-    async def _keep(self, host: HostId) -> None:
+    async def _maintain_link(self, host: HostId) -> None:
         while True:
             try:
                 link = await dial(
@@ -237,10 +237,10 @@
                     "can't connect to replica", extra={"reason": error.message}
                 )
             else:
-                await self._hold(host, link)
-            await asyncio.sleep(REDIAL_INTERVAL)
+                await self._use_link(host, link)
+            await asyncio.sleep(REDIAL_INTERVAL_SECONDS)
 
-    async def _hold(self, host: HostId, link: Link) -> None:
+    async def _use_link(self, host: HostId, link: Link) -> None:
         self._links[host] = link
         try:
             # the peer sends only heartbeats here; reading detects the end of the link
@@ -271,7 +271,7 @@
         if parts is None or len(parts) != frame.part:
             return None
         parts.append(frame.data)
-        if not frame.last or len(parts) * PART_BYTES > MAX_MESSAGE:
+        if not frame.last or len(parts) * PART_BYTES > MAX_MESSAGE_BYTES:
             return None
         del self._parts[frame.sender]
         try:
--- a/src/ibishead/control/raftlog.py
+++ b/src/ibishead/control/raftlog.py
@@ -32,8 +32,8 @@
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[Entry] = ()) -> None:
         self.snapshot = snapshot
-        self._floor = snapshot.index
-        self._floor_term = snapshot.term
+        self._compacted_index = snapshot.index
+        self._compacted_term = snapshot.term
         self._entries: list[Entry] = []
         self._configurations = [(snapshot.index, snapshot.configuration)]
         self.append(entries)
@@ -41,17 +41,17 @@
     @property
     def last_index(self) -> LogIndex:
         """Index of the last entry, or of the floor if there is none."""
-        return LogIndex(self._floor + len(self._entries))
+        return LogIndex(self._compacted_index + len(self._entries))
 
     @property
     def last_term(self) -> Term:
         """Term of the last entry, or of the floor if there is none."""
-        return self._entries[-1].term if self._entries else self._floor_term
+        return self._entries[-1].term if self._entries else self._compacted_term
 
     @property
-    def floor(self) -> LogIndex:
+    def compacted_index(self) -> LogIndex:
         """Last index whose entry was discarded; its term is still known."""
-        return self._floor
+        return self._compacted_index
 
     @property
     def configuration(self) -> Configuration:
@@ -69,10 +69,10 @@
 
     def term_at(self, index: int) -> Term | None:
         """Return the term of the entry at an index, or None if it isn't known."""
-        if index == self._floor:
-            return self._floor_term
-        if self._floor < index <= self.last_index:
-            return self._entries[index - self._floor - 1].term
+        if index == self._compacted_index:
+            return self._compacted_term
+        if self._compacted_index < index <= self.last_index:
+            return self._entries[index - self._compacted_index - 1].term
         return None
 
     def slice(
@@ -83,7 +83,9 @@
         :param max_bytes: limit of the entries' data in bytes; at least one entry is
             returned in any case.
         """
-        found = self._entries[first - self._floor - 1 : last - self._floor]
+        found = self._entries[
+            first - self._compacted_index - 1 : last - self._compacted_index
+        ]
         if max_bytes is None:
             return tuple(found)
         size = 0
@@ -113,7 +115,7 @@
 
     def truncate(self, first: int) -> None:
         """Remove all entries from an index on."""
-        del self._entries[first - self._floor - 1 :]
+        del self._entries[first - self._compacted_index - 1 :]
         while len(self._configurations) > 1 and self.configuration_index >= first:
             self._configurations.pop()
 
@@ -123,16 +125,16 @@
         :param retain: maximum number of covered entries to retain in memory.
         :param retain_bytes: maximum size of their data in bytes.
         """
-        floor = max(self._floor, snapshot.index - retain)
+        compacted_index = max(self._compacted_index, snapshot.index - retain)
         size = 0
-        for index in range(snapshot.index, floor, -1):
-            size += len(self._entries[index - self._floor - 1].data)
+        for index in range(snapshot.index, compacted_index, -1):
+            size += len(self._entries[index - self._compacted_index - 1].data)
             if size > retain_bytes:
-                floor = index
+                compacted_index = index
                 break
-        self._floor_term = self.term_at(floor) or self._floor_term
-        del self._entries[: floor - self._floor]
-        self._floor = LogIndex(floor)
+        self._compacted_term = self.term_at(compacted_index) or self._compacted_term
+        del self._entries[: compacted_index - self._compacted_index]
+        self._compacted_index = LogIndex(compacted_index)
         self.snapshot = snapshot
         later = [c for c in self._configurations if c[0] > snapshot.index]
         self._configurations = [(snapshot.index, snapshot.configuration), *later]
@@ -159,7 +161,7 @@
     def last_of_term(self, term: int, below: int) -> LogIndex | None:
         """Return the last index below ``below`` whose entry has a term, if any."""
         index = min(below - 1, self.last_index)
-        while index > self._floor:
+        while index > self._compacted_index:
             found = self.term_at(index)
             if found == term:
                 return LogIndex(index)
--- a/src/ibishead/control/raftstate.py
+++ b/src/ibishead/control/raftstate.py
@@ -149,7 +149,7 @@
     round: int = 0
     contact: int = -1
     echo: int = -1
-    installing: int = -1
+    snapshot_tick: int = -1
 
 
 @dataclass
@@ -173,7 +173,7 @@
 
 
 @dataclass
-class _Issued:
+class _PendingWrite:
     """A write that isn't synced yet, and the last index that it makes durable."""
 
     token: int
@@ -218,12 +218,12 @@
     progress: dict[ReplicaId, Progress] = field(default_factory=dict)
     round: int = 0
     elected: int = 0
-    settled: bool = False
+    leader_seen: bool = False
     attempts: int = 0
     heartbeat_due: bool = False
     own_term_index: int = 0
     reads: list[PendingRead] = field(default_factory=list)
-    early_reads: list[int] = field(default_factory=list)
+    deferred_reads: list[int] = field(default_factory=list)
     successor: ReplicaId | None = None
     successor_deadline: int = 0
     lease_until: int = 0
@@ -232,8 +232,8 @@
     )
     outputs: list[Output] = field(default_factory=list)
     restore: Snapshot | None = None
-    _held: deque[tuple[int, Send]] = field(default_factory=deque)
-    _issued: deque[_Issued] = field(default_factory=deque)
+    _unsent_messages: deque[tuple[int, Send]] = field(default_factory=deque)
+    _pending_writes: deque[_PendingWrite] = field(default_factory=deque)
     _token: int = 0
     _synced: int = 0
     _dirty_vote: bool = False
@@ -284,7 +284,7 @@
         if needed <= self._synced:
             self.send(to, message)
         else:
-            self._held.append((needed, Send(to, message)))
+            self._unsent_messages.append((needed, Send(to, message)))
 
     # Writes ------------------------------------------------------------------
 
@@ -306,8 +306,8 @@
         self.log.truncate(first)
         self._mark_dirty(first)
         self.durable = min(self.durable, first - 1)
-        for issued in self._issued:
-            issued.last_index = min(issued.last_index, first - 1)
+        for pending in self._pending_writes:
+            pending.last_index = min(pending.last_index, first - 1)
 
     def compact(self, snapshot: Snapshot) -> None:
         """Replace entries by a snapshot of the applied state."""
@@ -322,8 +322,8 @@
         if not retained:
             self._dirty_from = None
             self.durable = 0
-            for issued in self._issued:
-                issued.last_index = 0
+            for pending in self._pending_writes:
+                pending.last_index = 0
         self.commit = snapshot.index
         self.restore = snapshot
 
@@ -333,13 +333,13 @@
             return
         entries: tuple[Entry, ...] = ()
         if self._dirty_from is not None:
-            first = max(self._dirty_from, self.log.floor + 1)
+            first = max(self._dirty_from, self.log.compacted_index + 1)
             entries = self.log.slice(first, self.log.last_index)
         self._token += 1
         snapshot, reset = self._dirty_snapshot, self._dirty_reset
         write = Write(self._token, self.term, self.vote, entries, snapshot, reset)
         self.outputs.append(write)
-        self._issued.append(_Issued(self._token, self.log.last_index))
+        self._pending_writes.append(_PendingWrite(self._token, self.log.last_index))
         self._dirty_vote = self._dirty_reset = False
         self._dirty_from = self._dirty_snapshot = None
 
@@ -349,10 +349,10 @@
         Messages of older terms are dropped.
         """
         self._synced = max(self._synced, token)
-        while self._issued and self._issued[0].token <= token:
-            self.durable = max(self.durable, self._issued.popleft().last_index)
-        while self._held and self._held[0][0] <= self._synced:
-            held = self._held.popleft()[1]
+        while self._pending_writes and self._pending_writes[0].token <= token:
+            self.durable = max(self.durable, self._pending_writes.popleft().last_index)
+        while self._unsent_messages and self._unsent_messages[0][0] <= self._synced:
+            held = self._unsent_messages.popleft()[1]
             if held.message.term >= self.term:
                 self.outputs.append(held)
 
--- a/src/ibishead/control/records.py
+++ b/src/ibishead/control/records.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-__all__ = ["DamagedRecord", "Record", "TornTail", "frame", "split"]
+__all__ = ["DamagedRecord", "Record", "TornTail", "decode_records", "encode_record"]
 
 #: Length of the payload, checksum of the payload, checksum of these two fields.
 _HEADER = struct.Struct(">IQI")
@@ -43,14 +43,14 @@
     offset: int
 
 
-def frame(payload: bytes) -> bytes:
+def encode_record(payload: bytes) -> bytes:
     """Return a record that holds the payload."""
     fields = _FIELDS.pack(len(payload), xxhash.xxh3_64_intdigest(payload))
     checksum = xxhash.xxh32_intdigest(fields)
     return fields + checksum.to_bytes(4, "big") + payload
 
 
-def split(data: bytes) -> Iterator[Record | TornTail]:
+def decode_records(data: bytes) -> Iterator[Record | TornTail]:
     """Yield the records of a file, and a torn tail last if there is one.
 
     Each write to the file is one record and is synced before the next, so that only the
@@ -102,7 +102,9 @@
         if end > len(data):
             return True
         return end == len(data) and _has_unwritten_sector(data, offset)
-    return _has_unwritten_sector(data, offset) and not _holds_record(data, offset + 1)
+    return _has_unwritten_sector(data, offset) and not _contains_record(
+        data, offset + 1
+    )
 
 
 def _has_unwritten_sector(data: bytes, offset: int) -> bool:
@@ -115,6 +117,6 @@
     return False
 
 
-def _holds_record(data: bytes, offset: int) -> bool:
+def _contains_record(data: bytes, offset: int) -> bool:
     starts = range(offset, len(data) - _HEADER.size + 1)
     return any(_read(data, start) is not None for start in starts)
--- a/src/ibishead/control/repair.py
+++ b/src/ibishead/control/repair.py
@@ -13,23 +13,23 @@
 if TYPE_CHECKING:
     from ibishead.control.replica import LogReplica
 
-__all__ = ["REPLACE_LIMIT", "Watch", "replace"]
+__all__ = ["REPLACE_TIMEOUT_SECONDS", "RepairMonitor", "replace"]
 
 logger = logging.getLogger(__name__)
 
 #: Seconds within which a new replica must catch up with the log.
-REPLACE_LIMIT = 120.0
+REPLACE_TIMEOUT_SECONDS = 120.0
 
 #: Seconds for which the promotion of a replica that had caught up waits for it to
 #: receive the entry of the last change.
-_PROMOTE_LIMIT = 2.0
+_PROMOTE_TIMEOUT_SECONDS = 2.0
 
 #: Seconds without an introduction after which a host counts as unreachable.
-_HEARD_LIMIT = 5.0
+_INTRODUCTION_TIMEOUT_SECONDS = 5.0
 
 #: Seconds between attempts at an automatic repair, short enough that two voters lost in
 #: succession are both replaced before a third may be lost.
-_REPAIR_INTERVAL = 0.5
+_REPAIR_INTERVAL_SECONDS = 0.5
 
 
 async def replace(replica: "LogReplica", lost: ReplicaId, host: HostId) -> ReplicaId:
@@ -46,11 +46,11 @@
     :raises Conflict: the host's replica is a voter already, or another change of the
         replica set is in progress.
     """
-    fresh = _find_fresh(replica, lost, host)
-    _check_size(replica, lost, fresh)
-    await _take_in(replica, fresh)
+    new = _find_new_replica(replica, lost, host)
+    _check_size(replica, lost, new)
+    await _add_and_catch_up(replica, new)
     if lost == replica.name:
-        await _promote(replica, fresh)
+        await _promote(replica, new)
         await replica.transfer()
         raise Unavailable(
             f"{lost} was the leader and has handed over the leadership",
@@ -58,24 +58,24 @@
             code=ErrorCode.NOT_LEADER,
             retry_after=timedelta(seconds=replica.pace.election),
         )
-    same_host = replica_host(lost) == replica_host(fresh)
+    same_host = replica_host(lost) == replica_host(new)
     if same_host or replica.core.silence(lost) >= replica.pace.timing.election:
-        await _take_out(replica, lost)
-        await _promote(replica, fresh)
+        await _remove(replica, lost)
+        await _promote(replica, new)
     else:
-        await _promote(replica, fresh)
-        await _take_out(replica, lost)
-    logger.info("replica %s replaced by %s", lost, fresh)
-    return fresh
+        await _promote(replica, new)
+        await _remove(replica, lost)
+    logger.info("replica %s replaced by %s", lost, new)
+    return new
 
 
-class Watch:
+class RepairMonitor:
     """Replaces lost replicas without an operator if a new replica is available."""
 
     def __init__(self, replica: "LogReplica") -> None:
         self._replica = replica
         self._running = False
-        self._next = 0.0
+        self._next_attempt = 0.0
 
     def find_spare(self) -> ReplicaId | None:
         """Return an available replica that is neither voter nor learner, if any.
@@ -89,18 +89,18 @@
         current = replica.core.configuration
         for host in sorted(replica.founding.known):
             found = replica.founding.known[host].replica
-            if _has_fresh(replica, host) and found not in current.learners:
+            if _has_new_replica(replica, host) and found not in current.learners:
                 return found
         return None
 
-    async def take_spare(self, spare: ReplicaId) -> None:
+    async def add_spare(self, spare: ReplicaId) -> None:
         """Add a spare as a learner, and remove former learners of its host."""
         self._running = True
         try:
             current = self._replica.core.configuration
             for former in current.learners:
                 if replica_host(former) == replica_host(spare):
-                    await _take_out(self._replica, former)
+                    await _remove(self._replica, former)
             current = self._replica.core.configuration
             await self._replica.change_configuration(
                 configuration.add_learner(current, spare)
@@ -110,7 +110,9 @@
             logger.info("spare not added as a learner", extra={"reason": str(error)})
         finally:
             self._running = False
-            self._next = self._replica.clock.monotonic() + _REPAIR_INTERVAL
+            self._next_attempt = (
+                self._replica.clock.monotonic() + _REPAIR_INTERVAL_SECONDS
+            )
 
     def is_due(self) -> bool:
         """Return whether a voter is lost and a repair can start now.
@@ -120,9 +122,13 @@
         short network interruption doesn't justify copying the whole log.
         """
         now = self._replica.clock.monotonic()
-        return not self._running and now >= self._next and self._plan() is not None
+        return (
+            not self._running
+            and now >= self._next_attempt
+            and self._choose_repair() is not None
+        )
 
-    def find_missing(self) -> ReplicaId | None:
+    def find_promotable(self) -> ReplicaId | None:
         """Return a learner to promote if there are fewer voters than configured.
 
         Failure: a replacement removes the lost voter and is then interrupted by a
@@ -133,14 +139,14 @@
         current = replica.core.configuration
         if self._running or len(current.voters) >= replica.pace.voters:
             return None
-        if replica.clock.monotonic() < self._next:
+        if replica.clock.monotonic() < self._next_attempt:
             return None
         for learner in current.learners:
             known = replica.founding.known.get(replica_host(learner))
             introduced = known is not None and known.replica == learner
             if (
                 introduced
-                and _is_heard(replica, replica_host(learner))
+                and _is_recent(replica, replica_host(learner))
                 and replica.core.is_caught_up(learner)
             ):
                 return learner
@@ -156,11 +162,13 @@
             logger.warning("learner not promoted yet", extra={"reason": str(error)})
         finally:
             self._running = False
-            self._next = self._replica.clock.monotonic() + _REPAIR_INTERVAL
+            self._next_attempt = (
+                self._replica.clock.monotonic() + _REPAIR_INTERVAL_SECONDS
+            )
 
     async def run(self) -> None:
         """Replace a voter whose host has a new replica, or that was silent longest."""
-        plan = self._plan()
+        plan = self._choose_repair()
         if plan is None:
             return
         self._running = True
@@ -172,14 +180,18 @@
             logger.warning("repair failed", extra={"reason": str(error)})
         finally:
             self._running = False
-            self._next = self._replica.clock.monotonic() + _REPAIR_INTERVAL
+            self._next_attempt = (
+                self._replica.clock.monotonic() + _REPAIR_INTERVAL_SECONDS
+            )
 
-    def _plan(self) -> tuple[ReplicaId, HostId] | None:
+    def _choose_repair(self) -> tuple[ReplicaId, HostId] | None:
         replica = self._replica
         core = replica.core
         max_silence = replica.pace.repair / replica.pace.tick
         silences = [(core.silence(voter), voter) for voter in core.configuration.voters]
-        hosts = [host for host in replica.founding.known if _has_fresh(replica, host)]
+        hosts = [
+            host for host in replica.founding.known if _has_new_replica(replica, host)
+        ]
         for _, voter in silences:
             # Failure: a voter's disk was emptied and its host has returned under a new
             # identity. The old one can never answer again, so waiting for the silence
@@ -192,49 +204,51 @@
         return max(silent)[1], sorted(hosts)[0]
 
 
-async def _take_in(replica: "LogReplica", fresh: ReplicaId) -> None:
+async def _add_and_catch_up(replica: "LogReplica", new: ReplicaId) -> None:
     current = replica.core.configuration
-    if fresh not in current.voters and fresh not in current.learners:
-        await replica.change_configuration(configuration.add_learner(current, fresh))
-    deadline = replica.clock.monotonic() + REPLACE_LIMIT
-    while fresh not in replica.core.configuration.voters:
-        if replica.core.is_caught_up(fresh):
+    if new not in current.voters and new not in current.learners:
+        await replica.change_configuration(configuration.add_learner(current, new))
+    deadline = replica.clock.monotonic() + REPLACE_TIMEOUT_SECONDS
+    while new not in replica.core.configuration.voters:
+        if replica.core.is_caught_up(new):
             return
         # Failure: the new replica has stopped. Waiting for it would delay every other
         # repair by as long.
-        if fresh != replica.name and not _is_heard(replica, replica_host(fresh)):
+        if new != replica.name and not _is_recent(replica, replica_host(new)):
             raise Unavailable(
-                f"replica {fresh} stopped answering before it had caught up",
+                f"replica {new} stopped answering before it had caught up",
                 "check its host, or name another one",
                 code=ErrorCode.NO_QUORUM,
             )
         if replica.clock.monotonic() >= deadline or not replica.is_leader():
             raise Unavailable(
-                f"replica {fresh} has not caught up with the log",
+                f"replica {new} has not caught up with the log",
                 "check the new host and its links, then repeat the command",
                 code=ErrorCode.NO_QUORUM,
             )
         await asyncio.sleep(replica.pace.tick)
 
 
-async def _promote(replica: "LogReplica", fresh: ReplicaId) -> None:
-    if fresh in replica.core.configuration.voters:
+async def _promote(replica: "LogReplica", new: ReplicaId) -> None:
+    if new in replica.core.configuration.voters:
         return
     # the new replica may not have received the previous change yet
-    deadline = replica.clock.monotonic() + _PROMOTE_LIMIT
-    while not replica.core.is_caught_up(fresh) and replica.clock.monotonic() < deadline:
+    deadline = replica.clock.monotonic() + _PROMOTE_TIMEOUT_SECONDS
+    while not replica.core.is_caught_up(new) and replica.clock.monotonic() < deadline:
         await asyncio.sleep(replica.pace.tick)
     current = replica.core.configuration
-    await replica.change_configuration(configuration.promote(current, fresh))
+    await replica.change_configuration(configuration.promote(current, new))
 
 
-async def _take_out(replica: "LogReplica", lost: ReplicaId) -> None:
+async def _remove(replica: "LogReplica", lost: ReplicaId) -> None:
     current = replica.core.configuration
     if lost in current.voters or lost in current.learners:
         await replica.change_configuration(configuration.remove(current, lost))
 
 
-def _find_fresh(replica: "LogReplica", lost: ReplicaId, host: HostId) -> ReplicaId:
+def _find_new_replica(
+    replica: "LogReplica", lost: ReplicaId, host: HostId
+) -> ReplicaId:
     if host == replica_host(replica.name) and lost != replica.name:
         # a replaced leader may have transferred the leadership to the new replica
         return replica.name
@@ -242,7 +256,7 @@
     # Failure: a host was restarted with an empty folder, but its latest introduction
     # still is that of the lost replica. Chosen as the new one, the lost replica would
     # be removed as its own replacement, and the set would be one voter short.
-    if known is None or known.replica == lost or not _is_heard(replica, host):
+    if known is None or known.replica == lost or not _is_recent(replica, host):
         raise Unavailable(
             f"no new replica answers on host {host}",
             "name a host from [peers] or [spares] and start ibishead-control there "
@@ -252,26 +266,28 @@
     return known.replica
 
 
-def _check_size(replica: "LogReplica", lost: ReplicaId, fresh: ReplicaId) -> None:
+def _check_size(replica: "LogReplica", lost: ReplicaId, new: ReplicaId) -> None:
     """Refuse to remove a voter if the new replica doesn't add one.
 
     An even number of voters means that a replacement was interrupted, and it may be
     repeated.
     """
     voters = replica.core.configuration.voters
-    if fresh in voters and lost in voters and len(voters) % 2:
+    if new in voters and lost in voters and len(voters) % 2:
         raise Conflict(
-            f"replica {fresh} is a voter already",
+            f"replica {new} is a voter already",
             "name a host that runs a new replica or a spare",
         )
 
 
-def _has_fresh(replica: "LogReplica", host: HostId) -> bool:
+def _has_new_replica(replica: "LogReplica", host: HostId) -> bool:
     known = replica.founding.known[host]
     is_voter = known.replica in replica.core.configuration.voters
-    return _is_heard(replica, host) and not is_voter
+    return _is_recent(replica, host) and not is_voter
 
 
-def _is_heard(replica: "LogReplica", host: HostId) -> bool:
+def _is_recent(replica: "LogReplica", host: HostId) -> bool:
     known = replica.founding.known[host]
-    return replica.clock.monotonic() - known.heard < _HEARD_LIMIT
+    return (
+        replica.clock.monotonic() - known.introduced_at < _INTRODUCTION_TIMEOUT_SECONDS
+    )
--- a/src/ibishead/control/replica.py
+++ b/src/ibishead/control/replica.py
@@ -50,7 +50,7 @@
 _T = TypeVar("_T")
 
 #: Interval of the introductions to each other host, in seconds.
-INTRODUCE_INTERVAL = 0.5
+INTRODUCE_INTERVAL_SECONDS = 0.5
 
 
 class LogReplica:
@@ -95,11 +95,11 @@
         )
         self._reader = FrameReader()
         self._answers = Answers(draw(NUMBERS))
-        self._reads = 0
-        self._introduced = 0.0
+        self._read_count = 0
+        self._introduced_at = 0.0
         self._linked_rounds = 0
-        self._led_at = clock.monotonic()
-        self._repair = repair.Watch(self)
+        self._leader_seen_at = clock.monotonic()
+        self._repair = repair.RepairMonitor(self)
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
@@ -129,9 +129,9 @@
         """
         if self.is_leader():
             return (await self._propose_here(command))[1]
-        answer = await self._ask(lambda number: Forward(number, command))
+        answer = await self._request_leader(lambda number: Forward(number, command))
         if applied:
-            await self._bound(self._driver.waiters.reach(answer.index))
+            await self._with_timeout(self._driver.waiters.reach(answer.index))
         return answer.result
 
     async def confirm_read(self) -> None:
@@ -141,10 +141,10 @@
         """
         try:
             if self.is_leader():
-                index = await self._bound(self._read_here())
+                index = await self._with_timeout(self._read_here())
             else:
-                index = (await self._ask(AskRead)).index
-            await self._bound(self._driver.waiters.reach(index))
+                index = (await self._request_leader(AskRead)).index
+            await self._with_timeout(self._driver.waiters.reach(index))
         except Unavailable as error:
             raise self._describe_no_quorum() from error
 
@@ -167,7 +167,7 @@
         core = self.core
         if core.leader is not None or not core.configuration.voters:
             return True
-        return self.clock.monotonic() - self._led_at <= self.pace.election
+        return self.clock.monotonic() - self._leader_seen_at <= self.pace.election
 
     def is_leader(self) -> bool:
         """Return whether this replica is a leader whose quorum still answers."""
@@ -213,9 +213,9 @@
         """
         if self.is_leader():
             return await repair.replace(self, lost, host)
-        answer = await self._ask(
+        answer = await self._request_leader(
             lambda number: AskReplace(number, lost, host),
-            repair.REPLACE_LIMIT,
+            repair.REPLACE_TIMEOUT_SECONDS,
             outlives_lead=True,
         )
         return answer.replica
@@ -244,9 +244,9 @@
         self._driver.advance()
         message = self._reader.read(frame)
         if isinstance(message, Introduce):
-            self._meet(frame, message)
-        elif message is not None and self._accept_cluster(frame):
-            self._take(frame.sender, message)
+            self._handle_introduction(frame, message)
+        elif message is not None and self._check_cluster(frame):
+            self._handle_message(frame.sender, message)
 
     @property
     def _identity(self) -> Identity:
@@ -255,7 +255,7 @@
     # Proposals and reads -----------------------------------------------------
 
     async def _propose_here(self, command: bytes) -> tuple[LogIndex, bytes]:
-        if not self._driver.has_room():
+        if not self._driver.has_space():
             raise StorageFault(
                 "the disk of the control log is full",
                 "free some space on it; nothing that was accepted is lost",
@@ -269,8 +269,8 @@
         return index, await self._driver.wait_for(index, core.term)
 
     async def _read_here(self) -> LogIndex:
-        self._reads += 1
-        number = self._reads
+        self._read_count += 1
+        number = self._read_count
         future: asyncio.Future[LogIndex | None]
         future = asyncio.get_running_loop().create_future()
         self._driver.reads[number] = future
@@ -284,10 +284,10 @@
             raise self._describe_no_quorum()
         return index
 
-    async def _ask(
+    async def _request_leader(
         self,
-        make: Callable[[int], ReplicaMessage],
-        limit: float | None = None,
+        make_message: Callable[[int], ReplicaMessage],
+        timeout_seconds: float | None = None,
         *,
         outlives_lead: bool = False,
     ) -> Any:
@@ -296,15 +296,17 @@
             raise self._describe_no_quorum()
         number, future = self._answers.open(leader, outlives_lead=outlives_lead)
         try:
-            if not self._links.send(self._identity, leader, make(number)):
+            if not self._links.send(self._identity, leader, make_message(number)):
                 raise self._describe_no_quorum()
-            return await self._bound(future, limit)
+            return await self._with_timeout(future, timeout_seconds)
         finally:
             self._answers.close(number)
 
-    async def _bound(self, result: Awaitable[_T], limit: float | None = None) -> _T:
+    async def _with_timeout(
+        self, result: Awaitable[_T], timeout_seconds: float | None = None
+    ) -> _T:
         try:
-            async with asyncio.timeout(limit or self.pace.answer):
+            async with asyncio.timeout(timeout_seconds or self.pace.answer):
                 return await result
         except TimeoutError as error:
             raise describe_unknown() from error
@@ -315,15 +317,21 @@
 
     # Other replicas ----------------------------------------------------------
 
-    def _take(self, sender: ReplicaId, message: ReplicaMessage) -> None:
+    def _handle_message(self, sender: ReplicaId, message: ReplicaMessage) -> None:
         match message:
             case Forward(number, command):
-                self._spawn(self._serve(sender, number, self._forward(number, command)))
+                self._spawn(
+                    self._answer_request(
+                        sender, number, self._serve_forward(number, command)
+                    )
+                )
             case AskRead(number):
-                self._spawn(self._serve(sender, number, self._tell_index(number)))
+                self._spawn(
+                    self._answer_request(sender, number, self._serve_read(number))
+                )
             case AskReplace(number, lost, host):
-                work = self._tell_replaced(number, lost, host)
-                self._spawn(self._serve(sender, number, work))
+                coroutine = self._serve_replace(number, lost, host)
+                self._spawn(self._answer_request(sender, number, coroutine))
             case Forwarded(number) | ReadAnswer(number) | Replaced(number):
                 self._answers.settle(number, message)
             case Refuse(number, code, reason, remedy):
@@ -335,49 +343,49 @@
             case _:
                 self._driver.step(sender, message)
 
-    async def _serve(
+    async def _answer_request(
         self,
         sender: ReplicaId,
         number: int,
-        work: Coroutine[Any, Any, ReplicaMessage],
+        coroutine: Coroutine[Any, Any, ReplicaMessage],
     ) -> None:
         try:
-            answer = await work
+            answer = await coroutine
         except IbisheadError as error:
             answer = Refuse(number, error.code, error.message, error.remedy)
         self._links.send(self._identity, sender, answer)
 
-    async def _forward(self, number: int, command: bytes) -> ReplicaMessage:
+    async def _serve_forward(self, number: int, command: bytes) -> ReplicaMessage:
         if not self.is_leader():
             raise self._describe_no_quorum()
         index, result = await self._propose_here(command)
         return Forwarded(number, index, result)
 
-    async def _tell_index(self, number: int) -> ReplicaMessage:
-        return ReadAnswer(number, await self._bound(self._read_here()))
+    async def _serve_read(self, number: int) -> ReplicaMessage:
+        return ReadAnswer(number, await self._with_timeout(self._read_here()))
 
-    async def _tell_replaced(
+    async def _serve_replace(
         self, number: int, lost: ReplicaId, host: HostId
     ) -> ReplicaMessage:
         if not self.is_leader():
             raise self._describe_no_quorum()
         return Replaced(number, await repair.replace(self, lost, host))
 
-    def _accept_cluster(self, frame: PeerFrame) -> bool:
+    def _check_cluster(self, frame: PeerFrame) -> bool:
         if not self._identity.cluster and frame.cluster and frame.receiver:
             # the frame is addressed to this identity, so a leader has added it to the
             # cluster
             self._join(Identity(self.name, frame.cluster))
         return bool(frame.cluster) and frame.cluster == self._identity.cluster
 
-    def _meet(self, frame: PeerFrame, message: Introduce) -> None:
+    def _handle_introduction(self, frame: PeerFrame, message: Introduce) -> None:
         if frame.sender == self.name:
             return
         now = self.clock.monotonic()
-        self.founding.note(frame.sender, frame.cluster, now)
+        self.founding.record_introduction(frame.sender, frame.cluster, now)
         own = self._identity
-        joined = self.founding.join(own, frame.cluster, message.founders)
-        self._join(joined or self.founding.found(own))
+        joined = self.founding.join_cluster(own, frame.cluster, message.founders)
+        self._join(joined or self.founding.found_cluster(own))
 
     def _join(self, identity: Identity | None) -> None:
         if identity is None:
@@ -391,7 +399,7 @@
         self._introduce()
 
     def _introduce(self) -> None:
-        self._introduced = self.clock.monotonic()
+        self._introduced_at = self.clock.monotonic()
         for host in self._links.hosts:
             self._links.introduce(self._identity, host)
 
@@ -401,32 +409,32 @@
         while True:
             await asyncio.sleep(self.pace.tick)
             with contextlib.suppress(IbisheadError):
-                self._do_round()
+                self._run_round()
             if self.core.leader is not None:
-                self._led_at = self.clock.monotonic()
+                self._leader_seen_at = self.clock.monotonic()
             elif not self.expects_leader():
                 # fail all waiting callers, so that they can ask another replica; a
                 # transfer of the leadership takes less time than this
                 self._driver.waiters.fail()
                 self._answers.fail()
 
-    def _do_round(self) -> None:
+    def _run_round(self) -> None:
         self._driver.advance()
-        if self.clock.monotonic() - self._introduced >= INTRODUCE_INTERVAL:
+        if self.clock.monotonic() - self._introduced_at >= INTRODUCE_INTERVAL_SECONDS:
             self._introduce()
-            self._join(self.founding.found(self._identity))
+            self._join(self.founding.found_cluster(self._identity))
         self._answers.fail_lost(self.core.leader, self._reaches)
-        self._hasten_election()
+        self._campaign_early()
         if not self.is_leader():
             return
         if self._repair.is_due():
             self._spawn(self._repair.run())
-        elif (learner := self._repair.find_missing()) is not None:
+        elif (learner := self._repair.find_promotable()) is not None:
             self._spawn(self._repair.promote(learner))
         elif (spare := self._repair.find_spare()) is not None:
-            self._spawn(self._repair.take_spare(spare))
+            self._spawn(self._repair.add_spare(spare))
 
-    def _hasten_election(self) -> None:
+    def _campaign_early(self) -> None:
         """Start an early pre-vote when it is this replica's turn.
 
         The voters that are linked to a quorum do so in the order of their ids, one per
@@ -438,7 +446,7 @@
             self._linked_rounds = 0
             return
         if self._linked_rounds == sorted(linked).index(self.name):
-            self.core.hasten()
+            self.core.campaign_early()
             self._driver.schedule_flush()
         self._linked_rounds += 1
 
@@ -449,7 +457,7 @@
     def _reaches(self, replica: ReplicaId) -> bool:
         return self._links.reaches(replica_host(replica))
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/src/ibishead/control/replication.py
+++ b/src/ibishead/control/replication.py
@@ -30,7 +30,7 @@
     "handle_append",
     "handle_append_answer",
     "handle_install",
-    "hand_over",
+    "send_take_over",
     "quorum_age",
 ]
 
@@ -44,7 +44,7 @@
     state.append([Entry(index, state.term, kind, data)])
     state.heartbeat_due = True
     if kind is EntryKind.CONFIGURATION:
-        _follow_configuration(state)
+        _update_peers(state)
     return index
 
 
@@ -71,12 +71,12 @@
     """
     if state.commit < state.own_term_index:
         # a new leader doesn't know yet what its predecessors had committed
-        state.early_reads.append(context)
+        state.deferred_reads.append(context)
         return
     state.round += 1
     state.reads.append(PendingRead(context, state.commit, state.round))
     state.heartbeat_due = True
-    _answer_reads(state)
+    _complete_reads(state)
 
 
 def handle_append_answer(
@@ -90,11 +90,11 @@
     progress.echo = max(progress.echo, answer.sent_tick)
     progress.round = max(progress.round, answer.round)
     if answer.accepted:
-        _take_match(state, sender, progress, answer.index)
+        _record_match(state, sender, progress, answer.index)
     elif answer.index > progress.match:
-        _step_back(state, progress, answer)
+        _backtrack(state, progress, answer)
         _send_append(state, sender, progress)
-    _answer_reads(state)
+    _complete_reads(state)
 
 
 def advance_commit(state: RaftState) -> None:
@@ -112,7 +112,7 @@
     if index > state.commit and state.log.term_at(index) == state.term:
         state.commit = LogIndex(index)
         state.heartbeat_due = True
-        _begin_early_reads(state)
+        _begin_deferred_reads(state)
 
 
 def quorum_age(state: RaftState) -> int:
@@ -124,7 +124,7 @@
     return state.now - quorum_value(contacts)
 
 
-def hand_over(state: RaftState) -> None:
+def send_take_over(state: RaftState) -> None:
     """Ask the chosen successor to take over once it holds the whole log.
 
     The transfer is abandoned at its deadline.
@@ -138,7 +138,7 @@
         state.send(successor, TakeOver(state.term))
 
 
-def _follow_configuration(state: RaftState) -> None:
+def _update_peers(state: RaftState) -> None:
     next_index = state.log.last_index + 1
     members = state.peers
     for peer in members:
@@ -147,10 +147,10 @@
         del state.progress[removed]
 
 
-def _take_match(
+def _record_match(
     state: RaftState, peer: ReplicaId, progress: Progress, index: LogIndex
 ) -> None:
-    progress.installing = -1
+    progress.snapshot_tick = -1
     advanced = index > progress.match
     if advanced:
         progress.match = index
@@ -159,12 +159,12 @@
         progress.probing = False
     if advanced:
         advance_commit(state)
-        hand_over(state)
+        send_take_over(state)
     if progress.next <= min(state.log.last_index, progress.match + state.timing.window):
         _send_append(state, peer, progress)
 
 
-def _step_back(state: RaftState, progress: Progress, answer: AppendAnswer) -> None:
+def _backtrack(state: RaftState, progress: Progress, answer: AppendAnswer) -> None:
     next_index = answer.hint_index
     if answer.hint_term:
         found = state.log.last_of_term(answer.hint_term, answer.index + 1)
@@ -203,22 +203,22 @@
 
 
 def _send_snapshot(state: RaftState, peer: ReplicaId, progress: Progress) -> None:
-    elapsed = state.now - progress.installing
-    if progress.installing >= 0 and elapsed < state.timing.election:
+    elapsed = state.now - progress.snapshot_tick
+    if progress.snapshot_tick >= 0 and elapsed < state.timing.election:
         return
-    progress.installing = state.now
+    progress.snapshot_tick = state.now
     state.send(peer, Install(state.term, state.log.snapshot, state.round, state.now))
 
 
-def _begin_early_reads(state: RaftState) -> None:
+def _begin_deferred_reads(state: RaftState) -> None:
     if state.commit < state.own_term_index:
         return
-    waiting, state.early_reads = state.early_reads, []
+    waiting, state.deferred_reads = state.deferred_reads, []
     for context in waiting:
         begin_read(state, context)
 
 
-def _answer_reads(state: RaftState) -> None:
+def _complete_reads(state: RaftState) -> None:
     rounds = [
         state.round if voter == state.replica else state.progress[voter].round
         for voter in state.configuration.voters
@@ -234,7 +234,7 @@
 
 def handle_append(state: RaftState, sender: ReplicaId, message: Append) -> None:
     """Append entries from the leader, or answer where the logs diverge."""
-    _note_lease(state, message)
+    _record_lease(state, message)
     if message.prev_index < state.commit:
         # committed entries can't conflict: acknowledge those and ignore the message's
         _accept(state, sender, message, state.commit)
@@ -301,7 +301,7 @@
     state.send(leader, answer)
 
 
-def _note_lease(state: RaftState, message: Append) -> None:
+def _record_lease(state: RaftState, message: Append) -> None:
     """Record the lease that starts at the latest own tick that the leader echoed.
 
     A message may have been delayed, so its arrival time proves nothing. The echo proves
--- a/src/ibishead/control/storage.py
+++ b/src/ibishead/control/storage.py
@@ -11,10 +11,16 @@
 
 from ibishead.control.consensus import Stored
 from ibishead.control.folder import Files
-from ibishead.control.identity import Identity, read_whole, write_whole
+from ibishead.control.identity import Identity, read_checked, write_atomically
 from ibishead.control.peers import Configuration, Entry, Snapshot
 from ibishead.control.raftstate import Write
-from ibishead.control.records import DamagedRecord, Record, TornTail, frame, split
+from ibishead.control.records import (
+    DamagedRecord,
+    Record,
+    TornTail,
+    decode_records,
+    encode_record,
+)
 from ibishead.errors import ErrorCode, StorageFault
 from ibishead.ids import LogIndex, ReplicaId, Term
 
@@ -71,7 +77,7 @@
         """
         snapshot = self._load_snapshot()
         entries: list[Entry] = []
-        numbers = _numbers(self._files, _SEGMENT)
+        numbers = _list_numbers(self._files, _SEGMENT)
         if numbers and numbers != list(range(numbers[0], numbers[-1] + 1)):
             raise StorageFault("a log segment is missing", _REMEDY)
         if not numbers and (self._identity.cluster or snapshot.index):
@@ -87,7 +93,7 @@
         if numbers:
             self._current = numbers[-1]
         else:
-            self._begin_segment()
+            self._start_segment()
         if entries and not remaining:
             # the next entries won't continue the ones that were discarded here
             self._append(_LogRecord(*self._vote, reset=True))
@@ -110,17 +116,17 @@
 
     def _write(self, write: Write) -> None:
         if write.snapshot is not None:
-            self._save_snapshot(write.snapshot)
+            self._store_snapshot(write.snapshot)
         if write.snapshot is not None or self._size > _SEGMENT_BYTES:
-            self._begin_segment()
+            self._start_segment()
         record = _LogRecord(write.term, write.vote, write.entries, write.reset)
         self._append(record)
         self._vote = (write.term, write.vote)
         if write.snapshot is not None:
-            self._drop_covered(write.snapshot.index)
+            self._remove_covered(write.snapshot.index)
 
     def _append(self, record: _LogRecord) -> None:
-        data = frame(msgspec.msgpack.encode(record))
+        data = encode_record(msgspec.msgpack.encode(record))
         name = _segment_name(self._current)
         self._files.append(name, data)
         self._files.sync(name)
@@ -128,41 +134,41 @@
         highest = max([0, *(entry.index for entry in record.entries)])
         self._segments[self._current] = max(self._segments[self._current], highest)
 
-    def _begin_segment(self) -> None:
+    def _start_segment(self) -> None:
         self._current = max(self._segments, default=0) + 1
         self._segments[self._current] = 0
         self._size = 0
         # repeat term and vote, as the segments that hold them may be removed
         self._append(_LogRecord(*self._vote))
-        self._files.sync_names()
+        self._files.sync_directory()
 
-    def _drop_covered(self, index: LogIndex) -> None:
+    def _remove_covered(self, index: LogIndex) -> None:
         for number in sorted(self._segments):
             if number == self._current or self._segments[number] > index:
                 break
             self._files.remove(_segment_name(number))
             # sync each removal, so that a crash can't restore an older segment only,
             # which would leave a gap
-            self._files.sync_names()
+            self._files.sync_directory()
             del self._segments[number]
-        for found in _numbers(self._files, _SNAPSHOT):
+        for found in _list_numbers(self._files, _SNAPSHOT):
             if found < index:
                 self._files.remove(_snapshot_name(found))
 
-    def _save_snapshot(self, snapshot: Snapshot) -> None:
+    def _store_snapshot(self, snapshot: Snapshot) -> None:
         if snapshot.index <= self._snapshot_index:
             return
         payload = msgspec.msgpack.encode(snapshot)
-        write_whole(self._files, _snapshot_name(snapshot.index), payload)
+        write_atomically(self._files, _snapshot_name(snapshot.index), payload)
         self._snapshot_index = snapshot.index
 
     def _load_snapshot(self) -> Snapshot:
-        numbers = _numbers(self._files, _SNAPSHOT)
+        numbers = _list_numbers(self._files, _SNAPSHOT)
         if not numbers:
             founding = Configuration(tuple(sorted(self._identity.founders)))
             return Snapshot(LogIndex(0), Term(0), founding)
         self._snapshot_index = numbers[-1]
-        payload = read_whole(self._files, _snapshot_name(numbers[-1]))
+        payload = read_checked(self._files, _snapshot_name(numbers[-1]))
         return msgspec.msgpack.decode(payload, type=Snapshot)
 
     def _read_segment(self, number: int, *, last: bool) -> list[_LogRecord]:
@@ -171,20 +177,20 @@
         self._size = len(data)
         records = []
         try:
-            for found in split(data):
+            for found in decode_records(data):
                 match found:
                     case Record(payload):
                         decoded = msgspec.msgpack.decode(payload, type=_LogRecord)
                         records.append(decoded)
                     case TornTail(offset) if last:
-                        self._cut(name, offset, len(data))
+                        self._truncate_tail(name, offset, len(data))
                     case TornTail(offset):
                         raise DamagedRecord(offset)
         except DamagedRecord as damage:
             raise StorageFault(f"{name}: {damage}", _REMEDY) from damage
         return records
 
-    def _cut(self, name: str, offset: int, size: int) -> None:
+    def _truncate_tail(self, name: str, offset: int, size: int) -> None:
         _LOGGER.warning(
             "truncated a torn record of %d bytes at byte %d of %s, never acknowledged",
             size - offset,
@@ -225,7 +231,7 @@
     return tuple(entries[position + 1 :])
 
 
-def _numbers(files: Files, pattern: re.Pattern[str]) -> list[int]:
+def _list_numbers(files: Files, pattern: re.Pattern[str]) -> list[int]:
     found = [pattern.fullmatch(name) for name in files.names()]
     return sorted(int(match[1]) for match in found if match)
 
--- a/tests/control/test_force.py
+++ b/tests/control/test_force.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ibishead.clock import ManualClock
-from ibishead.control.force import SURE_LIMIT, ForceTracker
+from ibishead.control.force import LEASE_LIMIT_SECONDS, ForceTracker
 from ibishead.control.publish import Publisher
 from ibishead.messages import Holders
 
@@ -53,7 +53,7 @@
 async def test_cut_off_replica_counts_until_its_holders_have_stopped():
     """A replica is cut off together with an entry that holds the old document."""
     tracker, clock = make_tracker({"c2": None, "c3": Holders(1, 1)})
-    clock.step(SURE_LIMIT - 0.1)
+    clock.step(LEASE_LIMIT_SECONDS - 0.1)
     assert await tracker.find_waiting(1) == ["c2"]
     clock.step(0.2)
     assert await tracker.find_waiting(1) == []
@@ -64,7 +64,7 @@
     tracker, clock = make_tracker({"c2": None, "c3": Holders(1, 1)})
     tracker.note_replicas()
     tracker._replica.voters = ("c1", "c3")
-    clock.step(SURE_LIMIT - 0.1)
+    clock.step(LEASE_LIMIT_SECONDS - 0.1)
     assert await tracker.find_waiting(1) == ["c2"]
     clock.step(0.2)
     assert await tracker.find_waiting(1) == []
@@ -74,7 +74,7 @@
 async def test_restarted_replica_doesnt_trust_the_age_of_a_change():
     """A replica that restarts doesn't know when a change was applied before."""
     tracker, clock = make_tracker({"c2": None, "c3": Holders(1, 1)})
-    clock.step(SURE_LIMIT + 0.1)
+    clock.step(LEASE_LIMIT_SECONDS + 0.1)
     log = Log()
     log.apply(make_submission("s1", 0))
     publisher = Publisher(log.state, lambda: 1.0, clock)
@@ -88,5 +88,5 @@
     )
     assert await tracker.find_waiting(1) == []
     assert await fresh.find_waiting(1) == ["c2"]
-    clock.step(SURE_LIMIT)
+    clock.step(LEASE_LIMIT_SECONDS)
     assert await fresh.find_waiting(1) == []
--- a/tests/control/test_replica.py
+++ b/tests/control/test_replica.py
@@ -266,7 +266,7 @@
     replica = cluster.hosts[leader].replica
     one, other = followers(cluster)
     await wait_until(lambda: other in replica.founding.known)
-    with pytest.raises(Conflict, match="counts already"):
+    with pytest.raises(Conflict, match="is a voter already"):
         await replica.change_replicas(cluster.hosts[one].replica.name, other)
     assert len(replica.replicas().voters) == 3
 
--- a/tests/fake_files.py
+++ b/tests/fake_files.py
@@ -61,7 +61,7 @@
         self._count(f"remove {name}")
         del self.files[name]
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         self._count("sync_names")
         self.synced_names = dict(self.files)
 
--- a/tests/raft_fakes.py
+++ b/tests/raft_fakes.py
@@ -120,10 +120,10 @@
             node.core.tick()
             self._take(node)
 
-    def hasten(self, name: ReplicaId) -> None:
+    def campaign_early(self, name: ReplicaId) -> None:
         node = self.nodes[name]
         if node.running and not node.frozen:
-            node.core.hasten()
+            node.core.campaign_early()
             self._take(node)
 
     def sync(self, name: ReplicaId) -> None:
@@ -322,7 +322,7 @@
         return b"c%d" % self._number
 
     def _take(self, node: FakeReplica) -> None:
-        for output in node.core.take():
+        for output in node.core.take_outputs():
             self._perform(node, output)
         self._check(node)
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -38,7 +38,7 @@
 
 def make_core(stored: Stored, replica: ReplicaId = A) -> Consensus:
     core = Consensus(replica, stored, TIMING, lambda bound: 0)
-    core.take()
+    core.take_outputs()
     return core
 
 
@@ -63,13 +63,13 @@
 def sent(core: Consensus, kind: type) -> list:
     return [
         output.message
-        for output in core.take()
+        for output in core.take_outputs()
         if isinstance(output, Send) and isinstance(output.message, kind)
     ]
 
 
 def sync_all(core: Consensus) -> None:
-    while tokens := [o.token for o in core.take() if isinstance(o, Write)]:
+    while tokens := [o.token for o in core.take_outputs() if isinstance(o, Write)]:
         core.synced(tokens[-1])
 
 
@@ -158,7 +158,7 @@
         replicas.crash(name)
     for name in replicas.nodes:
         replicas.restart(name)
-    replicas.hasten(next(iter(replicas.nodes)))
+    replicas.campaign_early(next(iter(replicas.nodes)))
     replicas.run(HASTY.first - 1)
     assert replicas.leader() is not None
 
@@ -172,8 +172,8 @@
     replicas.restart(other)
     if cut:
         replicas.cut(leader, other)
-    replicas.hasten(other)
-    replicas.hasten(leader)
+    replicas.campaign_early(other)
+    replicas.campaign_early(leader)
     replicas.run(3 * HASTY.election)
     assert replicas.leader() == leader
     assert replicas.nodes[leader].core.term == term
@@ -225,7 +225,7 @@
     """A voter answers, loses power, restarts and votes for another in the same term."""
     core = make_core(Stored(snapshot=FOUNDING))
     core.step(B, RequestVote(Term(1), LogIndex(0), Term(0)))
-    outputs = core.take()
+    outputs = core.take_outputs()
     writes = [output for output in outputs if isinstance(output, Write)]
     assert [(write.term, write.vote) for write in writes] == [(1, B)]
     assert not [output for output in outputs if isinstance(output, Send)]
@@ -248,9 +248,9 @@
     core = make_core(Stored(Term(2), None, FOUNDING, (entry(1, 1), entry(2, 2))))
     request = RequestVote(Term(4), LogIndex(last_index), Term(last_term), pre)
     core.step(B, request)
-    outputs = core.take()
+    outputs = core.take_outputs()
     core.synced(max([0, *(o.token for o in outputs if isinstance(o, Write))]))
-    answers = [o.message for o in outputs + core.take() if isinstance(o, Send)]
+    answers = [o.message for o in outputs + core.take_outputs() if isinstance(o, Send)]
     assert [answer.granted for answer in answers] == [granted]
 
 
@@ -261,7 +261,7 @@
         Term(1), LogIndex(0), Term(0), (entry(1, 1),), LogIndex(0), 0, sent_tick=3
     )
     core.step(B, message)
-    outputs = core.take()
+    outputs = core.take_outputs()
     assert not [output for output in outputs if isinstance(output, Send)]
     core.synced([o for o in outputs if isinstance(o, Write)][-1].token)
     assert [answer.index for answer in sent(core, AppendAnswer)] == [1]
@@ -331,9 +331,9 @@
     core = make_led_core(Stored(Term(1), None, FOUNDING, (entry(1, 1),)))
     core.read(7)
     core.step(B, AppendAnswer(Term(2), True, LogIndex(1), 9, 0, 0))
-    assert not [o for o in core.take() if isinstance(o, ReadReady)]
+    assert not [o for o in core.take_outputs() if isinstance(o, ReadReady)]
     core.step(B, AppendAnswer(Term(2), True, LogIndex(2), 9, 0, 0))
-    assert [o for o in core.take() if isinstance(o, ReadReady)] == [
+    assert [o for o in core.take_outputs() if isinstance(o, ReadReady)] == [
         ReadReady(7, LogIndex(2))
     ]
 
@@ -344,7 +344,7 @@
     core = replicas.nodes[leader].core
     for context in range(50):
         core.read(context)
-    outputs = core.take()
+    outputs = core.take_outputs()
     assert len([o for o in outputs if isinstance(o, Send)]) == 2
     assert not [o for o in outputs if isinstance(o, ReadReady)]
 
@@ -355,7 +355,7 @@
     core = replicas.nodes[leader].core
     for number in range(64):
         core.propose([b"%d" % number])
-    outputs = core.take()
+    outputs = core.take_outputs()
     writes = [o for o in outputs if isinstance(o, Write)]
     assert [len(write.entries) for write in writes] == [64]
     assert len([o for o in outputs if isinstance(o, Send)]) == 2
--- a/tests/test_consensus_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -45,8 +45,8 @@
     def do_tick(self) -> None:
         self.replicas.tick(self.any())
 
-    def do_hasten(self) -> None:
-        self.replicas.hasten(self.any())
+    def do_campaign_early(self) -> None:
+        self.replicas.campaign_early(self.any())
 
     def do_tick_all(self) -> None:
         for name in self.replicas.nodes:
@@ -155,7 +155,7 @@
 #: Long good times with all kinds of faults in between.
 MIXED = {
     "tick": 12,
-    "hasten": 3,
+    "campaign_early": 3,
     "tick_all": 10,
     "deliver": 40,
     "drop": 3,
@@ -182,7 +182,7 @@
 #: One election after another, with restarts and freezes between vote and answer.
 UNSTEADY = {
     "tick": 30,
-    "hasten": 6,
+    "campaign_early": 6,
     "tick_all": 8,
     "deliver": 30,
     "drop": 2,
@@ -248,8 +248,8 @@
             self.replicas.tick(self.name(number))
 
     @rule(number=NAMES)
-    def hasten(self, number: int) -> None:
-        self.replicas.hasten(self.name(number))
+    def campaign_early(self, number: int) -> None:
+        self.replicas.campaign_early(self.name(number))
 
     @rule(position=st.integers(0, 20), times=st.integers(1, 8))
     def deliver(self, position: int, times: int) -> None:
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -71,7 +71,7 @@
         return [n for n, node in self.nodes.items() if node.role is Role.LEADER]
 
     def _take(self, now: float, name: ReplicaId) -> None:
-        while outputs := self.nodes[name].take():
+        while outputs := self.nodes[name].take_outputs():
             for output in outputs:
                 taken = now + self.delay * self.draw.uniform(0.9, 1.1)
                 match output:
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -18,8 +18,8 @@
     DamagedRecord,
     Record,
     TornTail,
-    frame,
-    split,
+    decode_records,
+    encode_record,
 )
 from ibishead.control.storage import Storage
 from ibishead.errors import ErrorCode, StorageFault
@@ -136,12 +136,12 @@
     name = files.names()[-1]
     whole = files.files[name].data
     for cut in range(1, 40):
-        torn = frame(b"x" * 40)[:cut]
+        torn = encode_record(b"x" * 40)[:cut]
         files.files[name].data = whole + torn
         with caplog.at_level(logging.WARNING):
             assert load(files) == (1, None, [1], 0)
         assert files.files[name].data == whole
-    assert "cut off a torn record of 39 bytes" in caplog.text
+    assert "truncated a torn record of 39 bytes" in caplog.text
 
 
 @pytest.mark.parametrize("position", range(0, 400, 7))
@@ -163,23 +163,26 @@
 @pytest.mark.parametrize(
     ("data", "expected"),
     [
-        (frame(b"a") + frame(b"b"), [Record(b"a"), Record(b"b")]),
-        (frame(b"a") + bytes(700), [Record(b"a"), TornTail(17)]),
-        (frame(b"a") + frame(b"b" * 90)[:-1], [Record(b"a"), TornTail(17)]),
-        (frame(b"") + b"\x01", [Record(b""), TornTail(16)]),
+        (encode_record(b"a") + encode_record(b"b"), [Record(b"a"), Record(b"b")]),
+        (encode_record(b"a") + bytes(700), [Record(b"a"), TornTail(17)]),
+        (
+            encode_record(b"a") + encode_record(b"b" * 90)[:-1],
+            [Record(b"a"), TornTail(17)],
+        ),
+        (encode_record(b"") + b"\x01", [Record(b""), TornTail(16)]),
     ],
 )
 def test_split_tells_a_torn_tail(data: bytes, expected: list) -> None:
-    assert list(split(data)) == expected
+    assert list(decode_records(data)) == expected
 
 
 @pytest.mark.parametrize("lost", [slice(0, 512), slice(512, 1024)])
 def test_zeroed_sector_before_a_whole_record_is_damage(lost: slice) -> None:
     """A disk returns zeros for a sector in the middle; records follow behind."""
-    data = bytearray(frame(b"z" * 1200) + frame(b"later"))
+    data = bytearray(encode_record(b"z" * 1200) + encode_record(b"later"))
     data[lost] = bytes(512)
     with pytest.raises(DamagedRecord):
-        list(split(bytes(data)))
+        list(decode_records(bytes(data)))
 
 
 @pytest.mark.parametrize("missing", ["log-000000000002", "log-000000000001"])
