--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -70,7 +70,7 @@
         "Answers(0)",
         (
             "tests/control/test_replica.py"
-            "::test_answer_to_an_earlier_life_is_none_to_this_one",
+            "::test_answer_from_before_a_restart_is_ignored",
         ),
     ),
     Guard(
@@ -98,7 +98,7 @@
         "control/election.py",
         "    if _has_live_leader(state) and not request.transfer:",
         "    if False:",
-        ("tests/test_consensus.py::test_haste_leaves_a_leader_alone",),
+        ("tests/test_consensus.py::test_early_election_keeps_a_working_leader",),
     ),
     Guard(
         "loads that wait at an engine without its model count",
--- a/tests/control/group.py
+++ b/tests/control/group.py
@@ -1,4 +1,4 @@
-"""Three replicas of a log in memory, which a test can cut off from one another."""
+"""Replicas of an in-memory log, each of which a test can partition from the others."""
 
 import asyncio
 from datetime import timedelta
@@ -10,7 +10,7 @@
 
 
 class Group:
-    """The log that its replicas share; the first one that isn't cut off leads."""
+    """The shared log; the first replica that isn't partitioned is the leader."""
 
     def __init__(self, names: tuple[str, ...]) -> None:
         self.commands: list[bytes] = []
@@ -24,7 +24,10 @@
 
 
 class GroupReplica:
-    """One replica, which applies what was committed a turn of the loop later."""
+    """One replica, which applies others' commands in a later event loop callback.
+
+    :ivar cut: whether the replica is partitioned from the others.
+    """
 
     def __init__(self, group: Group, name: ReplicaId, state: ControlState) -> None:
         self.cut = False
@@ -72,7 +75,7 @@
 
     async def transfer(self) -> None:
         self.transfers += 1
-        raise Unavailable("nobody takes over", "wait")
+        raise Unavailable("no replica takes over", "wait")
 
     async def stop(self) -> None:
         self.cut = True
--- a/tests/control/lone.py
+++ b/tests/control/lone.py
@@ -1,4 +1,4 @@
-"""A replica that is alone and keeps nothing on disk, for tests."""
+"""A single replica without a log or disk, for tests."""
 
 from ibishead.control.machine import ReplicaSet, StateMachine
 from ibishead.errors import Unavailable
@@ -7,12 +7,12 @@
 
 __all__ = ["LoneReplica"]
 
-#: Seconds that it vouches for its state; nobody else can change it.
+#: Lease in seconds; the state is always current, as no other replica can change it.
 LEASE = 3600.0
 
 
 class LoneReplica:
-    """Applies every command at once; all is lost when the process ends."""
+    """Applies every command immediately, and keeps its state in memory only."""
 
     def __init__(self, name: ReplicaId, machine: StateMachine) -> None:
         self._name = name
@@ -23,7 +23,7 @@
         """Return at once."""
 
     def take_frame(self, frame: PeerFrame) -> None:
-        """Drop it, as there are no others."""
+        """Discard the frame, as there are no other replicas."""
 
     async def propose(self, command: bytes) -> bytes:
         """Apply the command and return its result."""
@@ -34,30 +34,30 @@
         """Return at once."""
 
     def lease(self) -> float:
-        """Return the seconds for which the state is vouched for."""
+        """Return the seconds for which the state counts as current."""
         return LEASE
 
     def leader(self) -> ReplicaId | None:
-        """Return itself."""
+        """Return this replica's name."""
         return self._name
 
     def is_leader(self) -> bool:
-        """Return that it leads."""
+        """Return True, as a single replica always leads."""
         return True
 
     def replicas(self) -> ReplicaSet:
-        """Return a set of one."""
+        """Return a replica set with this replica only."""
         return ReplicaSet((self._name,))
 
     async def transfer(self) -> None:
-        """Refuse, as nobody else is there.
+        """Refuse, as there is no other replica.
 
         :raises Unavailable: always.
         """
         raise Unavailable("no other replica exists", "run three replicas")
 
     async def change_replicas(self, lost: ReplicaId, host: HostId) -> ReplicaId:
-        """Refuse, as the set can't change.
+        """Refuse, as the replica set can't change.
 
         :raises Unavailable: always.
         """
--- a/tests/control/replica_fakes.py
+++ b/tests/control/replica_fakes.py
@@ -1,4 +1,4 @@
-"""Replicas in one process, with links that can be cut and disks that can be lost."""
+"""Replicas in one process, with simulated links and disks that tests can break."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 
 
 class ListMachine:
-    """Lists what it was given, and returns how much that is."""
+    """Records the commands, and returns their number as each result."""
 
     def __init__(self) -> None:
         self.commands: list[str] = []
@@ -47,7 +47,7 @@
 
 @dataclass
 class FakeLinks:
-    """Hands frames to the replicas of the other hosts."""
+    """Delivers frames to the replicas on the other hosts."""
 
     own: HostId
     cluster: "Cluster"
@@ -87,8 +87,11 @@
             self.cluster.hosts[host].replica.take_frame(frame)
 
 
-class LeapingClock(SystemClock):
-    """The machine's clock, plus the time for which the process was frozen."""
+class SuspendableClock(SystemClock):
+    """The system clock plus an offset that simulates a suspension of the process.
+
+    :ivar frozen: seconds of all suspensions.
+    """
 
     def __init__(self) -> None:
         self.frozen = 0.0
@@ -99,19 +102,23 @@
 
 @dataclass
 class Host:
-    """One running replica."""
+    """One running replica with its state machine, disk and clock."""
 
     replica: LogReplica
     machine: ListMachine
     files: FakeFiles
-    clock: LeapingClock
+    clock: SuspendableClock
 
 
 @dataclass
 class Cluster:
-    """Hosts by name; `hosts` holds those that run.
+    """The hosts of a cluster.
 
-    :ivar silent: hosts whose links stay up and bring nothing any more.
+    :ivar names: all hosts.
+    :ivar first: hosts of the initial voters.
+    :ivar hosts: the running hosts, by name.
+    :ivar cuts: pairs of sender and receiver without a link.
+    :ivar silent: hosts whose links stay open but deliver nothing.
     """
 
     names: list[HostId]
@@ -125,7 +132,7 @@
     async def start(self, host: HostId, files: FakeFiles | None = None) -> Host:
         files = files or FakeFiles(self.random.randrange(1000))
         machine = ListMachine()
-        clock = LeapingClock()
+        clock = SuspendableClock()
         replica = LogReplica(
             host,
             self.first,
@@ -142,7 +149,7 @@
         return self.hosts[host]
 
     async def kill(self, host: HostId) -> FakeFiles:
-        """Stop a replica at once; what it has not synced is gone."""
+        """Stop a replica, lose its unsynced data and return its disk."""
         found = self.hosts.pop(host)
         await found.replica.stop()
         found.files.crash()
@@ -159,7 +166,7 @@
         return leader
 
     def leader(self) -> HostId | None:
-        """Return a leader whose quorum answers."""
+        """Return a running leader with a lease, if any."""
         for host, found in self.hosts.items():
             if found.replica.is_leader() and found.replica.lease() > 0:
                 return host
--- a/tests/control/test_force.py
+++ b/tests/control/test_force.py
@@ -1,4 +1,4 @@
-"""A change is in force when no replica has a holder that may act on the old state."""
+"""A change is in force once no replica has a holder that may use the old state."""
 
 import pytest
 
@@ -11,14 +11,14 @@
 
 
 class FakeRelay:
-    """Answers for the other replicas, none for those that can't be reached."""
+    """Answers for the other replicas; None for unreachable ones."""
 
     def __init__(self, answers: dict[str, Holders | None]) -> None:
         self.answers = answers
-        self.asked: list[str] = []
+        self.requests: list[str] = []
 
     async def ask_holders(self, replica, index):
-        self.asked.append(replica)
+        self.requests.append(replica)
         return self.answers[replica]
 
 
@@ -50,8 +50,11 @@
     assert await tracker.find_waiting(1) == waiting
 
 
-async def test_cut_off_replica_counts_until_its_holders_have_stopped():
-    """A replica is cut off together with an entry that holds the old document."""
+async def test_unreachable_replica_counts_until_its_leases_have_ended():
+    """Guards against a change reported in force too early.
+
+    An unreachable replica has an entry host that still uses the old document.
+    """
     tracker, clock = make_tracker({"c2": None, "c3": Holders(1, 1)})
     clock.step(LEASE_LIMIT_SECONDS - 0.1)
     assert await tracker.find_waiting(1) == ["c2"]
@@ -59,8 +62,11 @@
     assert await tracker.find_waiting(1) == []
 
 
-async def test_removed_replica_counts_until_its_holders_have_stopped():
-    """A replica is replaced while an entry still has a lease from it."""
+async def test_removed_replica_counts_until_its_leases_have_ended():
+    """Guards against a change reported in force too early.
+
+    A replica is replaced while an entry host still has a lease from it.
+    """
     tracker, clock = make_tracker({"c2": None, "c3": Holders(1, 1)})
     tracker.note_replicas()
     tracker._replica.voters = ("c1", "c3")
@@ -68,11 +74,14 @@
     assert await tracker.find_waiting(1) == ["c2"]
     clock.step(0.2)
     assert await tracker.find_waiting(1) == []
-    assert list(tracker._relay.asked) == ["c2", "c3", "c3"]
+    assert list(tracker._relay.requests) == ["c2", "c3", "c3"]
+
 
+async def test_restarted_replica_counts_changes_from_its_start():
+    """Guards against a change reported in force too early.
 
-async def test_restarted_replica_doesnt_trust_the_age_of_a_change():
-    """A replica that restarts doesn't know when a change was applied before."""
+    A restarted replica doesn't know when a change was applied.
+    """
     tracker, clock = make_tracker({"c2": None, "c3": Holders(1, 1)})
     clock.step(LEASE_LIMIT_SECONDS + 0.1)
     log = Log()
--- a/tests/control/test_group.py
+++ b/tests/control/test_group.py
@@ -1,4 +1,4 @@
-"""Three control servers over real sockets, on a log in memory."""
+"""Three control servers over real sockets, on an in-memory log."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,9 @@
 NAMES = ("c1", "c2", "c3")
 
 
-class Scene:
+class ServerGroup:
+    """Three replicas with their control servers."""
+
     def __init__(self, group: Group, servers: list[Running]) -> None:
         self.group = group
         self.servers = servers
@@ -30,7 +32,7 @@
         return self.group.replicas[name]
 
     async def lose(self, name: str) -> None:
-        """Cut a replica off and end its server."""
+        """Partition a replica, and stop its server."""
         self.replica(name).cut = True
         await self.servers[NAMES.index(name)].server.stop()
 
@@ -42,7 +44,7 @@
 
 
 @pytest.fixture
-async def scene(tmp_path):
+async def trio(tmp_path):
     group = Group(NAMES)
     servers = []
     for name, replica in group.replicas.items():
@@ -51,13 +53,13 @@
         servers.append(Running(server, await server.start()))
     first = group.replicas["c1"].state
     await wait_for(lambda: set(first.replicas) == set(NAMES))
-    yield Scene(group, servers)
+    yield ServerGroup(group, servers)
     for running in servers:
         await running.server.stop()
 
 
 def start_agent(servers):
-    """Start an agent's link to control, which registers on each connection."""
+    """Start an agent's subscription, which registers on each connection."""
     background = set()
 
     async def connected() -> None:
@@ -68,9 +70,12 @@
     return agent
 
 
-async def test_in_force_asks_the_other_replicas(scene):
-    """An entry at another replica hasn't applied a change that c1 has accepted."""
-    c1, c2, _ = scene.servers
+async def test_in_force_asks_the_other_replicas(trio):
+    """Guards against a change reported in force before all replicas' holders have it.
+
+    An entry host at another replica hasn't applied a change that c1 has accepted.
+    """
+    c1, c2, _ = trio.servers
     hello = Hello(Role.ENTRY, "e2")
     silent = await dial(c2.links, hello, CLOCK)
     silent.send(Subscribe(hello.host, hello.role))
@@ -94,76 +99,85 @@
     await holder.stop()
 
 
-async def test_agent_moves_when_its_replica_dies(scene):
-    """A replica dies; its agents attach elsewhere and keep their incarnations."""
-    _, c2, c3 = scene.servers
+async def test_agent_moves_when_its_replica_dies(trio):
+    """Guards against a new incarnation after the failure of a replica.
+
+    Its agents attach to another replica and keep their incarnations.
+    """
+    _, c2, c3 = trio.servers
     agent = start_agent([c2, c3])
-    await wait_for(scene.is_live)
-    incarnation = scene.replica("c1").state.targets.members[T1].record.incarnation
-    assert scene.find_replica() == "c2"
-    await scene.lose("c2")
-    await wait_for(lambda: scene.find_replica() == "c3")
-    # Longer than the grace after which it would be taken for dead
+    await wait_for(trio.is_live)
+    incarnation = trio.replica("c1").state.targets.members[T1].record.incarnation
+    assert trio.find_replica() == "c2"
+    await trio.lose("c2")
+    await wait_for(lambda: trio.find_replica() == "c3")
+    # longer than the grace period after which the target would be retired
     await asyncio.sleep(REATTACH_GRACE + 1.0)
-    member = scene.replica("c1").state.targets.members[T1]
+    member = trio.replica("c1").state.targets.members[T1]
     assert member.record.incarnation == incarnation
     await agent.stop()
 
 
 @pytest.mark.parametrize("former", ["c2", "c3"])
-async def test_late_registration_over_a_former_link(scene, former):
-    """An agent has moved to a new link; only then its ask over the old one commits."""
-    agent = start_agent([scene.servers[2]])
-    await wait_for(scene.is_live)
-    incarnation = scene.replica("c1").state.targets.members[T1].record.incarnation
+async def test_delayed_registration_over_a_former_link(trio, former):
+    """Guards against the retirement of a target attached to the wrong replica.
+
+    An agent has a new link when its registration over the former one is committed.
+    """
+    agent = start_agent([trio.servers[2]])
+    await wait_for(trio.is_live)
+    incarnation = trio.replica("c1").state.targets.members[T1].record.incarnation
     late = encode_command(make_registration("n1", replica=former))
-    await scene.replica("c1").propose(late)
-    await wait_for(lambda: scene.find_replica() == "c3")
+    await trio.replica("c1").propose(late)
+    await wait_for(lambda: trio.find_replica() == "c3")
     await asyncio.sleep(REATTACH_GRACE + 1.0)
-    member = scene.replica("c1").state.targets.members[T1]
+    member = trio.replica("c1").state.targets.members[T1]
     assert (member.record.incarnation, member.replica) == (incarnation, "c3")
     await agent.stop()
 
 
-async def test_target_that_dies_with_its_replica_is_retired(scene):
-    _, c2, _ = scene.servers
+async def test_target_that_dies_with_its_replica_is_retired(trio):
+    _, c2, _ = trio.servers
     agent = start_agent([c2])
-    await wait_for(scene.is_live)
+    await wait_for(trio.is_live)
     await agent.stop()
-    await scene.lose("c2")
-    await wait_for(lambda: not scene.is_live())
+    await trio.lose("c2")
+    await wait_for(lambda: not trio.is_live())
+
 
+async def test_replica_without_a_quorum_disconnects_its_agents(trio):
+    """Guards against agents that stay at a replica which can't commit changes.
 
-async def test_replica_without_a_quorum_sends_its_agents_away(scene):
-    """A replica is cut off from the others, but not from its agents."""
-    _, c2, c3 = scene.servers
+    The replica is partitioned from the others, but not from its agents.
+    """
+    _, c2, c3 = trio.servers
     agent = start_agent([c2, c3])
-    await wait_for(scene.is_live)
-    incarnation = scene.replica("c1").state.targets.members[T1].record.incarnation
+    await wait_for(trio.is_live)
+    incarnation = trio.replica("c1").state.targets.members[T1].record.incarnation
     await wait_for(agent.is_current)
-    scene.replica("c2").cut = True
+    trio.replica("c2").cut = True
     async for _ in poll():
-        if scene.find_replica() == "c3":
+        if trio.find_replica() == "c3":
             break
         assert agent.is_current()
-    member = scene.replica("c1").state.targets.members[T1]
+    member = trio.replica("c1").state.targets.members[T1]
     assert member.record.incarnation == incarnation
     await agent.stop()
 
 
 @pytest.mark.parametrize(("number", "transfers"), [(0, 1), (1, 0)])
-async def test_planned_stop_hands_the_leadership_over(scene, number, transfers):
-    """Without it all changes would wait for an election after every planned stop."""
-    replica = scene.replica(NAMES[number])
-    await scene.servers[number].server.stop()
+async def test_planned_stop_transfers_the_leadership(trio, number, transfers):
+    """Guards against an election timeout without changes after a planned stop."""
+    replica = trio.replica(NAMES[number])
+    await trio.servers[number].server.stop()
     assert replica.transfers == transfers
 
 
-async def test_permit_comes_through_a_follower(scene):
-    _, c2, _ = scene.servers
+async def test_permit_comes_through_a_follower(trio):
+    _, c2, _ = trio.servers
     agent = start_agent([c2])
-    await wait_for(scene.is_live)
-    incarnation = scene.replica("c1").state.targets.members[T1].record.incarnation
+    await wait_for(trio.is_live)
+    incarnation = trio.replica("c1").state.targets.members[T1].record.incarnation
     ask = AskPermit(T1, Incarnation(incarnation), 1, 1.0)
     async for _ in poll():
         with contextlib.suppress(Unavailable):
@@ -172,11 +186,11 @@
     await agent.stop()
 
 
-async def test_cut_off_replica_answers_nobody(scene):
-    """An operator reaches a replica that was cut off long ago."""
-    c1, c2, _ = scene.servers
+async def test_partitioned_replica_refuses_operators(trio):
+    """Guards against outdated answers of a replica without contact to the others."""
+    c1, c2, _ = trio.servers
     await c1.submit("s1", 0)
-    scene.replica("c2").cut = True
+    trio.replica("c2").cut = True
     assert (await c2.call("GET", "/v1/documents/raktar"))[0] == 503
     assert (await c2.call("GET", "/readyz"))[0] == 503
     assert (await c2.submit("s2", 1))[0] == 503
--- a/tests/control/test_liveness.py
+++ b/tests/control/test_liveness.py
@@ -1,4 +1,4 @@
-"""Targets that nobody watches are retired, those that come back are not."""
+"""Unmonitored targets are retired, unless they attach again in time."""
 
 import pytest
 
@@ -20,7 +20,7 @@
         ([False, False], True, False),
     ],
 )
-def test_sweep(watched, attaches, due):
+def test_sweep_retires_unmonitored_targets(watched, attaches, due):
     log = Log()
     log.apply(make_registration("n1"))
     watch = OrphanWatch()
@@ -33,8 +33,11 @@
     assert [command.target for command in commands] == [T1] * due
 
 
-def test_late_command_doesnt_retire_a_target_that_came_back():
-    """The agent attaches to another replica after the command was decided on."""
+def test_delayed_command_doesnt_retire_an_attached_target():
+    """Guards against the retirement of a live target.
+
+    The agent attaches to another replica after the retirement was decided.
+    """
     log = Log()
     log.apply(make_registration("n1"))
     watch = OrphanWatch()
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -1,4 +1,4 @@
-"""Incarnations rise, resends change nothing, and a target that came back stays."""
+"""Registration, attachment, retirement and draining of targets."""
 
 from ibishead.control.commands import (
     AttachTarget,
@@ -21,7 +21,7 @@
     return result
 
 
-def test_resent_registration_keeps_its_number():
+def test_resent_registration_keeps_its_incarnation():
     log = Log()
     first = register(log, "n1")
     log.restart()
@@ -29,8 +29,11 @@
     assert register(log, "n2").incarnation > first.incarnation
 
 
-def test_delayed_registration_of_a_replaced_agent():
-    """An agent was replaced; an ask of the old one arrives late, after a restart."""
+def test_delayed_registration_of_a_replaced_agent_is_refused():
+    """Guards against a late registration that ends the newer agent's incarnation.
+
+    It arrives after a restart of the replica from a snapshot.
+    """
     log = Log()
     register(log, "n1")
     newer = register(log, "n2")
@@ -41,8 +44,11 @@
     assert log.state.targets.is_live(T1, newer.incarnation)
 
 
-def test_agent_that_attached_elsewhere_isnt_retired():
-    """A link breaks, the agent moves to another replica, its old one gives it up."""
+def test_agent_that_attached_to_another_replica_isnt_retired():
+    """Guards against the retirement of a live target after a lost link.
+
+    The agent attaches to another replica while its former one retires the target.
+    """
     log = Log()
     first = register(log, "n1")
     log.apply(AttachTarget(T1, first.incarnation, ReplicaId("c2")))
@@ -50,7 +56,7 @@
     assert log.state.targets.is_live(T1, first.incarnation)
 
 
-def test_silent_agent_is_retired_and_may_come_back():
+def test_retired_target_can_register_again():
     log = Log()
     first = register(log, "n1")
     log.apply(RetireTarget(T1, first.incarnation, first.attachment))
@@ -59,7 +65,7 @@
     assert register(log, "n1").incarnation > first.incarnation
 
 
-def test_attach_and_retire_of_ended_incarnations_change_nothing():
+def test_commands_for_an_ended_incarnation_are_rejected():
     log = Log()
     register(log, "n1")
     newer = register(log, "n2")
--- a/tests/control/test_replica.py
+++ b/tests/control/test_replica.py
@@ -26,7 +26,7 @@
 
 @pytest_asyncio.fixture
 async def cluster() -> AsyncIterator[Cluster]:
-    """Three voters and a host d, which runs nothing yet."""
+    """Three voters and a host d without a running replica."""
     made = Cluster([A, B, C, D], (A, B, C))
     for host in (A, B, C):
         await made.start(host)
@@ -41,13 +41,13 @@
 
 
 def count_voters(cluster: Cluster, host: HostId) -> list[int]:
-    """Return the sizes of all replica sets in a replica's log."""
+    """Return the number of voters at each index of a replica's log."""
     log = cluster.hosts[host].replica.core.log
     indexes = range(log.snapshot.index, log.last_index + 1)
     return [len(log.configuration_at(index).voters) for index in indexes]
 
 
-async def test_command_is_applied_where_it_was_proposed(cluster: Cluster) -> None:
+async def test_propose_returns_once_applied_locally(cluster: Cluster) -> None:
     await cluster.find_leader()
     for number, host in enumerate(list(cluster.hosts), start=1):
         found = cluster.hosts[host]
@@ -55,8 +55,8 @@
         assert found.machine.commands[-1] == f"c{number}"
 
 
-async def test_many_waiters_share_a_sync(cluster: Cluster) -> None:
-    """Forty operators and claims wait at once; each sync costs a disk's turn."""
+async def test_concurrent_proposals_share_a_sync(cluster: Cluster) -> None:
+    """Guards against one sync, at the latency of the disk, for each of 40 proposals."""
     leader = cluster.hosts[await cluster.find_leader()]
     leader.files.operations.clear()
     await asyncio.gather(*(leader.replica.propose(b"%d" % n) for n in range(40)))
@@ -64,7 +64,7 @@
     assert len(syncs) == 1
 
 
-async def test_read_on_a_follower_sees_what_was_accepted(cluster: Cluster) -> None:
+async def test_read_on_a_follower_sees_accepted_changes(cluster: Cluster) -> None:
     leader = cluster.hosts[await cluster.find_leader()]
     follower = cluster.hosts[followers(cluster)[0]]
     for number in range(20):
@@ -73,8 +73,12 @@
         assert follower.machine.commands[-1] == str(number)
 
 
-async def test_cut_off_leader_serves_and_vouches_for_nothing(cluster: Cluster) -> None:
-    """The leader is cut off silently; operators and entry hosts still reach it."""
+async def test_partitioned_leader_refuses_all_requests(cluster: Cluster) -> None:
+    """Guards against accepted changes and outdated reads at a partitioned leader.
+
+    The leader gets no notice of the partition, and operators and entry hosts still
+    reach it.
+    """
     leader = await cluster.find_leader()
     old = cluster.hosts[leader].replica
     cluster.isolate(leader)
@@ -93,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    "vouches",
+    "claims_authority",
     [
         LogReplica.is_leader,
         lambda replica: replica.lease() > 0,
@@ -101,18 +105,18 @@
     ],
     ids=["is_leader", "lease", "leader"],
 )
-async def test_leader_that_wakes_vouches_for_nothing(
-    cluster: Cluster, vouches: Callable[[LogReplica], bool]
+async def test_leader_resumed_after_a_suspension_has_no_authority(
+    cluster: Cluster, claims_authority: Callable[[LogReplica], bool]
 ) -> None:
-    """A leader's process is frozen for seconds and goes on where it was."""
+    """Guards against a leader that was replaced while its process was suspended."""
     leader = cluster.hosts[await cluster.find_leader()]
-    assert vouches(leader.replica)
+    assert claims_authority(leader.replica)
     leader.clock.frozen += 2 * PACE.election
-    assert not vouches(leader.replica)
+    assert not claims_authority(leader.replica)
 
 
-async def test_no_quorum_is_told_at_once(cluster: Cluster) -> None:
-    """Two of three are gone; whoever asks is told when to come back."""
+async def test_loss_of_the_quorum_is_answered_at_once(cluster: Cluster) -> None:
+    """Guards against callers that wait for a time-out while two of three are down."""
     await cluster.find_leader()
     for host in followers(cluster):
         await cluster.kill(host)
@@ -128,10 +132,13 @@
     [lambda replica: replica.propose(b"x"), LogReplica.confirm_read],
     ids=["proposal", "read"],
 )
-async def test_question_does_not_outlast_the_leader_that_was_asked(
+async def test_forwarded_request_fails_when_its_leader_is_replaced(
     ask: Callable[[LogReplica], Awaitable[object]],
 ) -> None:
-    """A change is held at a leader that has stopped, though another one leads."""
+    """Guards against a request that waits for a lost leader until its time-out.
+
+    The links to the lost leader stay open, and another replica already leads.
+    """
     cluster = Cluster([A, B, C], (A, B, C), replace(PACE, answer=60.0))
     for host in (A, B, C):
         await cluster.start(host)
@@ -139,20 +146,20 @@
     follower = cluster.hosts[followers(cluster)[0]].replica
     await wait_until(lambda: follower.leader() is not None)
     cluster.silent.add(lost)
-    asked = asyncio.ensure_future(ask(follower))
+    request = asyncio.ensure_future(ask(follower))
     await wait_until(lambda: cluster.leader() not in (None, lost))
-    await asyncio.wait({asked}, timeout=20 * PACE.election)
-    ended = asked.done()
-    asked.cancel()
-    await asyncio.gather(asked, return_exceptions=True)
+    await asyncio.wait({request}, timeout=20 * PACE.election)
+    ended = request.done()
+    request.cancel()
+    await asyncio.gather(request, return_exceptions=True)
     await cluster.stop()
     assert ended
 
 
-async def test_replica_that_is_cut_off_soon_expects_no_leader(
+async def test_partitioned_replica_expects_no_leader_after_an_election_timeout(
     cluster: Cluster,
 ) -> None:
-    """A replica that nobody reaches keeps its callers as long as in an election."""
+    """Guards against callers that wait at a partitioned replica as in an election."""
     await cluster.find_leader()
     cut_off, other = (cluster.hosts[host].replica for host in followers(cluster))
     assert cut_off.expects_leader()
@@ -166,7 +173,7 @@
 
 
 async def test_replica_expects_a_leader_until_the_log_is_founded() -> None:
-    """All start for the first time, and the first change is refused again and again."""
+    """Guards against refused changes while all replicas start for the first time."""
     cluster = Cluster([A, B, C], (A, B, C))
     replica = (await cluster.start(A)).replica
     await asyncio.sleep(3 * PACE.election)
@@ -174,7 +181,9 @@
     await cluster.stop()
 
 
-async def test_follower_vouches_while_the_quorum_lives(cluster: Cluster) -> None:
+async def test_follower_has_a_lease_while_it_reaches_the_quorum(
+    cluster: Cluster,
+) -> None:
     await cluster.find_leader()
     follower = cluster.hosts[followers(cluster)[0]].replica
     await wait_until(lambda: follower.lease() > 0)
@@ -183,8 +192,10 @@
     await wait_until(lambda: follower.lease() == 0)
 
 
-async def test_all_lose_power_and_keep_what_was_accepted(cluster: Cluster) -> None:
-    """Hundreds of changes, then all hosts lose power; snapshots were taken."""
+async def test_power_loss_on_all_hosts_keeps_accepted_changes(
+    cluster: Cluster,
+) -> None:
+    """Guards against lost changes after 180 of them, with snapshots in between."""
     leader = cluster.hosts[await cluster.find_leader()]
     for number in range(0, 180, 30):
         batch = (leader.replica.propose(b"%d" % n) for n in range(number, number + 30))
@@ -198,28 +209,31 @@
     assert leader.machine.commands == [str(number) for number in range(180)]
 
 
-async def test_answer_to_an_earlier_life_is_none_to_this_one(cluster: Cluster) -> None:
-    """A change is told as accepted by the answer to one from before a restart."""
+async def test_answer_from_before_a_restart_is_ignored(cluster: Cluster) -> None:
+    """Guards against a change reported as accepted by another request's answer.
+
+    The answer belongs to a request sent before the replica was restarted.
+    """
     leader = await cluster.find_leader()
     host, other = followers(cluster)
-    asker = cluster.hosts[host].replica
-    await wait_until(lambda: asker.leader() is not None)
+    follower = cluster.hosts[host].replica
+    await wait_until(lambda: follower.leader() is not None)
     cluster.cuts |= {(leader, other), (other, leader)}
-    lost = asyncio.create_task(asker.propose(b"x"))
+    lost = asyncio.create_task(follower.propose(b"x"))
     await asyncio.sleep(0)
     files = await cluster.kill(host)
     with pytest.raises(Unavailable):
         await lost
-    back = (await cluster.start(host, files)).replica
-    # The leader's answer to the earlier life comes a few turns after its heartbeat
-    while back.leader() is None:
+    restarted = (await cluster.start(host, files)).replica
+    # the leader's answer to the earlier request arrives shortly after its heartbeat
+    while restarted.leader() is None:
         await asyncio.sleep(0)
-    assert await back.propose(b"y") == b"2"
+    assert await restarted.propose(b"y") == b"2"
     assert cluster.hosts[host].machine.commands == ["x", "y"]
 
 
-async def test_planned_stop_cuts_no_change_short(cluster: Cluster) -> None:
-    """The leader hands over while changes wait on it."""
+async def test_transfer_completes_pending_changes(cluster: Cluster) -> None:
+    """Guards against failed changes when the leader transfers its leadership."""
     leader = cluster.hosts[await cluster.find_leader()]
     waiting = [asyncio.create_task(leader.replica.propose(b"%d" % n)) for n in range(9)]
     await asyncio.sleep(0)
@@ -228,8 +242,11 @@
     assert sorted(await asyncio.gather(*waiting)) == [b"%d" % n for n in range(1, 10)]
 
 
-async def test_lost_disk_comes_back_as_a_new_replica(cluster: Cluster) -> None:
-    """A host comes back with an empty disk; an operator replaces its old replica."""
+async def test_lost_disk_is_replaced_by_a_new_replica(cluster: Cluster) -> None:
+    """Guards against a host that can't return after the loss of its disk.
+
+    It starts with an empty disk, and an operator replaces its former replica.
+    """
     leader = await cluster.find_leader()
     await cluster.hosts[leader].replica.propose(b"kept")
     lost = followers(cluster)[0]
@@ -244,8 +261,12 @@
     await wait_until(lambda: fresh.machine.commands == ["kept"])
 
 
-async def test_operator_replaces_through_a_follower(cluster: Cluster) -> None:
-    """An operator's shell asks any replica; a spare takes over from a live one."""
+async def test_follower_forwards_a_replacement(cluster: Cluster) -> None:
+    """Guards against a replacement that only the leader can perform.
+
+    The operator command line asks any replica; here a spare replaces a live voter, and
+    the set must never shrink.
+    """
     leader = await cluster.find_leader()
     spare = await cluster.start(D)
     one, other = followers(cluster)[:2]
@@ -261,7 +282,7 @@
 
 
 async def test_voter_does_not_replace_another(cluster: Cluster) -> None:
-    """An operator names the wrong host; the set must not shrink to two."""
+    """Guards against a set that shrinks to two when an operator names a wrong host."""
     leader = await cluster.find_leader()
     replica = cluster.hosts[leader].replica
     one, other = followers(cluster)
@@ -271,8 +292,13 @@
     assert len(replica.replicas().voters) == 3
 
 
-async def test_replaced_leader_hands_over_first(cluster: Cluster) -> None:
-    """An operator replaces the leader; asked again, the next one removes it."""
+async def test_replaced_leader_transfers_its_leadership_first(
+    cluster: Cluster,
+) -> None:
+    """Guards against a leader that can't be replaced, as it can't remove itself.
+
+    The operator repeats the command, and the new leader removes the former one.
+    """
     leader = await cluster.find_leader()
     replica = cluster.hosts[leader].replica
     spare = await cluster.start(D)
@@ -287,7 +313,10 @@
 
 
 async def test_unattended_repair_then_a_second_host_is_lost(cluster: Cluster) -> None:
-    """A host dies for good; a spare takes its place; then another host dies."""
+    """Guards against the loss of the quorum by two failures in succession.
+
+    A host is lost permanently, a spare replaces it, and then another host is lost.
+    """
     leader = await cluster.find_leader()
     await cluster.hosts[leader].replica.propose(b"before")
     await cluster.start(D)
@@ -307,7 +336,11 @@
 
 @pytest.mark.parametrize("taken", ["follower", "none"])
 async def test_interrupted_replacement_is_finished(taken: str) -> None:
-    """Nothing can be changed any more, for good, after a single loss."""
+    """Guards against a permanent loss of the quorum after a single failure.
+
+    A replacement is interrupted after the removal of a voter. Nothing is silent then,
+    and the learner must be promoted.
+    """
     names = [HostId(f"c{number}") for number in (1, 2, 3, 4)]
     pace = replace(PACE, readmit=True, voters=3)
     cluster = Cluster(names, tuple(names[:3]), pace)
@@ -316,7 +349,7 @@
     leader = await cluster.find_leader()
     replica = cluster.hosts[leader].replica
     await wait_until(lambda: len(replica.replicas().learners) == 1)
-    # one change at a time: the learner's own must be committed before the next
+    # the addition of the learner must be committed before the next change
     await wait_until(
         lambda: replica.core.applied >= replica.core.log.configuration_index
     )
@@ -335,10 +368,13 @@
     await cluster.stop()
 
 
-async def test_answer_does_not_wait_for_the_full_disk_of_who_passed_it_on(
+async def test_answer_does_not_wait_for_the_full_disk_of_a_forwarding_replica(
     cluster: Cluster,
 ) -> None:
-    """A change is in force everywhere, and told as unknown where a disk is full."""
+    """Guards against a committed change whose outcome is reported as unknown.
+
+    The replica that forwarded it can't apply it, as its own disk is full.
+    """
     await cluster.find_leader()
     full, other = (cluster.hosts[host] for host in followers(cluster))
     await wait_until(lambda: full.replica.leader() is not None)
@@ -348,7 +384,9 @@
     assert full.machine.commands == []
 
 
-async def test_full_disk_refuses_and_serves_again(cluster: Cluster) -> None:
+async def test_full_disk_refuses_changes_until_space_is_freed(
+    cluster: Cluster,
+) -> None:
     leader = cluster.hosts[await cluster.find_leader()]
     leader.files.full = True
     with pytest.raises(StorageFault) as caught:
@@ -361,7 +399,7 @@
 async def test_failed_sync_stops_the_replica_and_not_the_others(
     cluster: Cluster,
 ) -> None:
-    """One disk breaks; its replica must not answer from what may be gone."""
+    """Guards against answers from unsynced state after a disk failure."""
     leader = await cluster.find_leader()
     broken = cluster.hosts[leader]
     broken.files.sync_fails = True
@@ -375,8 +413,8 @@
     assert fresh.machine.commands[-1] == "y"
 
 
-async def test_new_hosts_wait_until_all_first_ones_are_there() -> None:
-    """One first host starts late; two alone must not found a cluster."""
+async def test_cluster_is_founded_only_by_all_initial_hosts() -> None:
+    """Guards against a cluster founded by two of three hosts when one starts late."""
     cluster = Cluster([A, B, C], (A, B, C))
     for host in (A, B):
         await cluster.start(host)
@@ -387,7 +425,7 @@
     await cluster.stop()
 
 
-async def test_single_replica_needs_nobody() -> None:
+async def test_single_replica_is_a_quorum() -> None:
     cluster = Cluster([A], (A,), replace(PACE, answer=30.0))
     host = await cluster.start(A)
     await cluster.find_leader()
@@ -396,10 +434,10 @@
     await cluster.stop()
 
 
-async def propose_until_taken(replica: LogReplica, command: bytes) -> None:
-    """Propose again while it is refused as not taken, as all callers do.
+async def propose_until_accepted(replica: LogReplica, command: bytes) -> None:
+    """Repeat a proposal while it is refused as not accepted, as all callers do.
 
-    On a starved machine the sync of a large command outlasts an election.
+    On an overloaded machine the sync of a large command outlasts an election.
     """
     async with asyncio.timeout(30):
         while True:
@@ -413,8 +451,8 @@
                 return
 
 
-async def test_three_over_real_links_and_folders(tmp_path: Path) -> None:
-    """The whole way: websocket links on loopback, files that are synced."""
+async def test_three_replicas_over_real_links_and_folders(tmp_path: Path) -> None:
+    """Covers the real links and files: websockets on loopback, synced folders."""
     clock = SystemClock()
     replicas: dict[HostId, LogReplica] = {}
     machines: dict[HostId, ListMachine] = {}
@@ -448,11 +486,11 @@
             replace(PACE, timing=replace(PACE.timing, election=40)),
         )
         await replicas[host].start()
-    # the others hear of a new leader a moment after it leads
+    # the followers learn of a new leader shortly after its election
     await wait_until(lambda: all(r.leader() for r in replicas.values()))
     big = b"x" * 3_000_000
     for host in (A, B, C):
-        await propose_until_taken(replicas[host], big)
+        await propose_until_accepted(replicas[host], big)
     await replicas[A].confirm_read()
     assert len(machines[A].commands) == 3
     for host in (A, B, C):
@@ -460,20 +498,23 @@
         await servers[host].stop()
 
 
-def test_message_in_parts_outlives_a_broken_link(
+def test_parts_of_an_interrupted_message_are_discarded(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """A link breaks within a snapshot; the next message must not be mixed with it."""
+    """Guards against a message assembled from parts of two messages.
+
+    A link is lost within the first one, such as a snapshot.
+    """
     sent: list[PeerFrame] = []
     links = PeerLinks({}, Hello(Role.CONTROL, A), SystemClock())
 
-    class Catcher:
+    class FakeLink:
         closed = False
 
         def send(self, frame: PeerFrame) -> None:
             sent.append(frame)
 
-    links._links[B] = Catcher()  # type: ignore[assignment]
+    links._links[B] = FakeLink()  # type: ignore[assignment]
     identity = Identity(ReplicaId("a.1"), "one")
     links.send(identity, ReplicaId("b.1"), Forward(1, bytes(2_500_000)))
     assert len(sent) == 3
@@ -482,5 +523,5 @@
     assert reader.read(sent[2]) is None
     results = [reader.read(frame) for frame in sent]
     assert results == [None, None, Forward(1, bytes(2_500_000))]
-    # what the broken link left behind was never taken for a message
+    # the parts of the interrupted message were never decoded
     assert not caplog.records
--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -1,4 +1,4 @@
-"""Three control processes on loopback, killed, frozen, stopped and restarted."""
+"""Three control processes on loopback that are killed, frozen and restarted."""
 
 import asyncio
 import contextlib
@@ -41,20 +41,20 @@
 {spares}
 """
 
-#: Seconds for which a leader is frozen: longer than any lease.
+#: Seconds for which a leader is frozen, longer than any lease.
 FREEZE = 6.0
 
 
 @dataclass(frozen=True)
 class Reply:
-    """What an operator was answered; status 0 when the connection broke."""
+    """Answer to an operator's request; status 0 if the connection was lost."""
 
     status: int
     value: dict
 
 
 class Trio:
-    """Three replicas, perhaps with spares, and where they listen."""
+    """Three control programs, optionally with spares, and their addresses."""
 
     def __init__(
         self, folder, spares: tuple[str, ...] = (), repair_after: str = "5 min"
@@ -103,17 +103,17 @@
         target = f"/v1/documents/{service}?base={base}&submission={submission}"
         return await self.ask(name, "POST", target, text.encode())
 
-    async def insist(
+    async def submit_reliably(
         self, submission: str, base: int, service: str = "raktar", start: int = 0
     ) -> Reply:
-        """Submit and resend at one replica after the other until one answers."""
-        turn = start
+        """Submit, and repeat at one replica after the other until one answers."""
+        attempt = start
         async for _ in poll(0.05):
-            name = NAMES[turn % len(NAMES)]
+            name = NAMES[attempt % len(NAMES)]
             reply = await self.submit(name, submission, base, service)
             if reply.status in (200, 409):
                 return reply
-            turn += 1
+            attempt += 1
         raise AssertionError("unreachable")
 
     async def find_leader(self, among: tuple[str, ...] = NAMES) -> str:
@@ -150,7 +150,7 @@
 
 
 class Watcher:
-    """An entry host's view, which notes every revision that it holds."""
+    """An entry host's subscription that records each revision it receives."""
 
     def __init__(self, replicas: list[Endpoint]) -> None:
         hello = Hello(Role.ENTRY, HostId("e1"))
@@ -182,14 +182,19 @@
 
 
 async def test_leader_is_killed_while_operators_submit(trio):
-    """Operators submit without pause, and resend what they got no answer to."""
+    """Guards against lost or repeated changes when leaders are killed.
+
+    Operators submit without pause, and repeat submissions that got no answer.
+    """
     watcher = trio.follow()
     accepted: list[str] = []
     killed = 0
     while len(accepted) < 60 or killed < 2:
         number = len(accepted)
         submission = f"s{number}"
-        pending = asyncio.create_task(trio.insist(submission, number, start=number))
+        pending = asyncio.create_task(
+            trio.submit_reliably(submission, number, start=number)
+        )
         if number in (15, 35) and killed < 2:
             leader = await trio.find_leader()
             trio.programs[leader].kill()
@@ -212,13 +217,13 @@
 
 
 async def test_all_restart_after_hundreds_of_changes(trio):
-    """All replicas lose power after more changes than a snapshot waits for."""
+    """Guards against lost changes after a restart of all replicas from snapshots."""
     services = [f"service-{number}" for number in range(8)]
     count = 140
 
     async def change(service: str) -> None:
         for base in range(count):
-            reply = await trio.insist(f"{service}-{base}", base, service)
+            reply = await trio.submit_reliably(f"{service}-{base}", base, service)
             assert reply.value["revision"] == base + 1
 
     await asyncio.gather(*map(change, services))
@@ -226,7 +231,7 @@
         program.kill()
     for program in trio.programs.values():
         program.start()
-    first = await trio.insist("service-0-0", 0, "service-0")
+    first = await trio.submit_reliably("service-0-0", 0, "service-0")
     assert (first.status, first.value["revision"]) == (200, 1)
     for service in services:
         expected = [f"{service}-{base}" for base in range(count)]
@@ -235,8 +240,11 @@
 
 
 async def test_frozen_leader_neither_accepts_nor_serves_old_state(trio):
-    """The leader is frozen; the others elect another one, which accepts a change."""
-    await trio.insist("s0", 0)
+    """Guards against outdated answers of a former leader.
+
+    It is frozen while the others elect a new leader, which accepts a change.
+    """
+    await trio.submit_reliably("s0", 0)
     old = await trio.find_leader()
     others = tuple(name for name in NAMES if name != old)
     trio.programs[old].freeze()
@@ -263,7 +271,7 @@
 def follow(
     trio: Trio, role: Role, host: str, first: int, connected=None
 ) -> Subscription:
-    """Follow the replicas, beginning with one of them."""
+    """Start a subscription to the replicas, beginning with one of them."""
     hello = Hello(role, HostId(host))
     subscription = Subscription(
         list(trio.links.values()),
@@ -277,7 +285,7 @@
 
 
 def start_agent(trio: Trio, first: int) -> tuple[Subscription, asyncio.Queue]:
-    """Start an agent's link, which registers anew over each connection."""
+    """Start an agent's subscription, which registers again on each connection."""
     registrations: asyncio.Queue = asyncio.Queue()
     tasks = set()
 
@@ -292,7 +300,10 @@
 
 
 async def test_claims_of_several_entries_while_the_leader_is_killed(trio):
-    """A caller retries an order through three entries at once; the leader dies."""
+    """Guards against a claim that is granted twice.
+
+    A caller retries an order through three entries at once; the leader is killed.
+    """
     leader = await trio.find_leader()
     agent, registrations = start_agent(trio, NAMES.index(leader))
     registration = await registrations.get()
@@ -307,12 +318,12 @@
                 return await entries[number].claim(ask, 5.0)
         raise AssertionError("unreachable")
 
-    for turn in range(12):
-        key = f"order-{turn}"
-        asks = [asyncio.create_task(claim(number, key)) for number in range(3)]
-        if turn == 4:
+    for attempt in range(12):
+        key = f"order-{attempt}"
+        requests = [asyncio.create_task(claim(number, key)) for number in range(3)]
+        if attempt == 4:
             trio.programs[leader].kill()
-        answers = await asyncio.gather(*asks)
+        answers = await asyncio.gather(*requests)
         granted = [a for a in answers if a.state is ClaimState.GRANTED]
         assert len(granted) == 1
         assert {a.holder for a in answers} == {granted[0].holder}
@@ -330,9 +341,12 @@
         await subscription.stop()
 
 
-async def test_leader_stops_by_plan(trio):
-    """The platform stops the leader; operators go on, and the program ends cleanly."""
-    await trio.insist("s0", 0)
+async def test_planned_stop_of_the_leader(trio):
+    """Guards against an outage for operators when the platform stops the leader.
+
+    The program must also exit cleanly.
+    """
+    await trio.submit_reliably("s0", 0)
     old = await trio.find_leader()
     others = tuple(name for name in NAMES if name != old)
     stop = asyncio.create_task(trio.programs[old].stop())
@@ -348,12 +362,15 @@
 
 
 async def test_change_is_in_force_although_a_replica_is_dead(trio):
-    """A replica dies with an entry linked to it; a change must come in force."""
+    """Guards against a change that never comes in force.
+
+    A replica is killed that may have an entry host linked to it.
+    """
     watcher = trio.follow()
     old = await trio.find_leader()
     others = [name for name in NAMES if name != old]
     trio.programs[others[1]].kill()
-    reply = await trio.insist("s0", 0)
+    reply = await trio.submit_reliably("s0", 0)
     path = f"/v1/in-force?index={reply.value['index']}"
     async for _ in poll(0.05):
         if (await trio.ask(old, "GET", path)).value.get("in_force"):
@@ -362,13 +379,16 @@
     await watcher.subscription.stop()
 
 
-async def test_lost_disk_is_repaired_and_the_next_host_lost(trio):
-    """A host loses its disk and is replaced; right afterwards another host is lost."""
+async def test_lost_disk_is_replaced_before_the_next_host_is_lost(trio):
+    """Guards against lost changes by two failures in succession.
+
+    A host loses its disk and its replica is replaced; then another host is lost.
+    """
     accepted = [f"s{number}" for number in range(10)]
     for number, submission in enumerate(accepted):
-        await trio.insist(submission, number)
+        await trio.submit_reliably(submission, number)
     leader = await trio.find_leader()
-    lost, kept = (name for name in NAMES if name != leader)
+    lost, other = (name for name in NAMES if name != leader)
     trio.programs[lost].kill()
     shutil.rmtree(trio.folder / f"{lost}.data")
     trio.programs[lost].start()
@@ -382,21 +402,24 @@
     status = await trio.ask(leader, "GET", "/v1/status")
     assert len(status.value["voters"]) == 3
     assert reply.value["replica"] in status.value["voters"]
-    trio.programs[kept].kill()
+    trio.programs[other].kill()
     assert await trio.read_history(lost) == accepted
-    reply = await trio.insist("after", len(accepted))
+    reply = await trio.submit_reliably("after", len(accepted))
     assert reply.value["revision"] == len(accepted) + 1
 
 
-async def test_lost_host_is_repaired_unattended_and_the_next_one_lost(tmp_path):
-    """A control host burns down at night, and a second one in the morning."""
+async def test_automatic_repair_before_the_next_host_is_lost(tmp_path):
+    """Guards against lost changes when two hosts are lost within hours.
+
+    A spare replaces the first one without an operator.
+    """
     trio = Trio(tmp_path, spares=("c4",), repair_after="2 s")
     try:
         for program in trio.programs.values():
             program.start()
         accepted = [f"s{number}" for number in range(5)]
         for number, submission in enumerate(accepted):
-            await trio.insist(submission, number)
+            await trio.submit_reliably(submission, number)
         leader = await trio.find_leader()
         first, second = (name for name in NAMES if name != leader)
         trio.programs[first].kill()
@@ -406,7 +429,7 @@
             if voters == {leader, second, "c4"}:
                 break
         trio.programs[second].kill()
-        reply = await trio.insist("after", len(accepted))
+        reply = await trio.submit_reliably("after", len(accepted))
         assert reply.value["revision"] == len(accepted) + 1
         assert await trio.read_history("c4") == [*accepted, "after"]
     finally:
--- a/tests/fake_files.py
+++ b/tests/fake_files.py
@@ -1,4 +1,4 @@
-"""A disk in memory that loses what was not synced."""
+"""An in-memory disk that may lose unsynced data in a crash."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 
 class Crash(Exception):
-    """The power fails in the middle of an operation."""
+    """A simulated power failure during an operation."""
 
 
 class _File:
@@ -16,16 +16,16 @@
 
 
 class FakeFiles:
-    """The `Files` of a folder whose machine may lose power at any operation.
+    """Implements `Files` in memory, with a power failure at any chosen operation.
 
-    :param seed: of what a crash leaves of unsynced data.
+    :param seed: determines how much unsynced data survives a crash.
     """
 
     def __init__(self, seed: int = 0) -> None:
         self.random = random.Random(seed)
         self.files: dict[str, _File] = {}
         self.synced_names: dict[str, _File] = {}
-        #: Operations until the power fails; None for never.
+        #: Number of operations before the power failure; None for no failure.
         self.countdown: int | None = None
         self.full = False
         self.sync_fails = False
@@ -72,7 +72,7 @@
         self.countdown = None
 
     def crash(self) -> None:
-        """Leave what was synced, and any part of what was only written."""
+        """Keep synced data, and a random part of unsynced data and names."""
         self.countdown = None
         names = self.synced_names
         for name in sorted(set(self.files) ^ set(names)):
--- a/tests/raft_fakes.py
+++ b/tests/raft_fakes.py
@@ -1,7 +1,7 @@
-"""A handful of replicas on fake disks and a fake network, checked at every step.
+"""Replicas on simulated disks and a simulated network, checked at every step.
 
-Nothing here decides; tests choose what happens next. `Replicas` raises
-`AssertionError` as soon as a promise of the consensus is broken.
+Tests choose each event. `Replicas` raises `AssertionError` as soon as an invariant of
+the consensus is violated.
 """
 
 import json
@@ -35,7 +35,7 @@
 
 
 class FakeDisk:
-    """Keeps what was synced; what was only written may be lost in a crash."""
+    """A disk that keeps synced writes and may lose unsynced ones in a crash."""
 
     def __init__(self, stored: Stored) -> None:
         self.stored = stored
@@ -48,7 +48,7 @@
         return token
 
     def crash(self, survivors: int) -> None:
-        """Lose the unsynced writes but for the first few, which had made it."""
+        """Lose the unsynced writes except for the first ``survivors``."""
         for write in self.unsynced[:survivors]:
             self.stored = self._applied(write)
         self.unsynced.clear()
@@ -58,15 +58,18 @@
         entries = () if write.reset else self.stored.entries
         if write.entries:
             first = write.entries[0].index
-            kept = tuple(entry for entry in entries if entry.index < first)
-            entries = kept + write.entries
+            preceding = tuple(entry for entry in entries if entry.index < first)
+            entries = preceding + write.entries
         after = tuple(entry for entry in entries if entry.index > snapshot.index)
         return Stored(write.term, write.vote, snapshot, after)
 
 
 @dataclass
 class FakeReplica:
-    """One replica with its disk and a state machine that lists its commands."""
+    """One replica with its disk and a state machine that records its commands.
+
+    :ivar reads: for each pending read, the commit index when it was requested.
+    """
 
     replica: ReplicaId
     disk: FakeDisk
@@ -79,7 +82,7 @@
 
 @dataclass(frozen=True)
 class InFlight:
-    """A message under way."""
+    """A message in transit."""
 
     sender: ReplicaId
     to: ReplicaId
@@ -87,11 +90,11 @@
 
 
 class Replicas:
-    """All replicas and what they must hold to.
+    """All replicas, with checks of the invariants.
 
-    :param count: voters at the start.
-    :param seed: of the elections' jitter.
-    :ivar draw: gives all replicas their random numbers.
+    :param count: initial number of voters.
+    :param seed: determines the random part of election timeouts.
+    :ivar draw: source of all replicas' random numbers.
     """
 
     def __init__(self, count: int, seed: int = 0, timing: Timing = TIMING) -> None:
@@ -112,25 +115,25 @@
         for name in names:
             self._start(name, FakeDisk(Stored(snapshot=founding)))
 
-    # What can happen ---------------------------------------------------------
+    # Events ------------------------------------------------------------------
 
     def tick(self, name: ReplicaId) -> None:
         node = self.nodes[name]
         if node.running and not node.frozen:
             node.core.tick()
-            self._take(node)
+            self._handle_outputs(node)
 
     def campaign_early(self, name: ReplicaId) -> None:
         node = self.nodes[name]
         if node.running and not node.frozen:
             node.core.campaign_early()
-            self._take(node)
+            self._handle_outputs(node)
 
     def sync(self, name: ReplicaId) -> None:
         node = self.nodes[name]
         if node.running and not node.frozen and node.disk.unsynced:
             node.core.synced(node.disk.sync())
-            self._take(node)
+            self._handle_outputs(node)
 
     def deliver(self, position: int, *, duplicate: bool = False) -> None:
         if not self.network:
@@ -144,12 +147,12 @@
         if node is None or not node.running or cut:
             return
         if node.frozen:
-            # what reaches a frozen replica waits in its socket
+            # messages to a frozen replica stay in its socket's buffer
             if not duplicate:
                 self.network.append(found)
             return
         node.core.step(found.sender, found.message)
-        self._take(node)
+        self._handle_outputs(node)
 
     def drop(self, position: int) -> None:
         if self.network:
@@ -160,7 +163,7 @@
         if node.running and not node.frozen:
             commands = [self._next_command() for _ in range(count)]
             node.core.propose(commands)
-            self._take(node)
+            self._handle_outputs(node)
 
     def read(self, name: ReplicaId) -> None:
         node = self.nodes[name]
@@ -168,7 +171,7 @@
             self._number += 1
             node.reads[self._number] = self.max_commit
             node.core.read(self._number)
-            self._take(node)
+            self._handle_outputs(node)
 
     def crash(self, name: ReplicaId, survivors: int = 0) -> None:
         node = self.nodes[name]
@@ -182,15 +185,18 @@
             self._start(name, node.disk)
 
     def lose_disk(self, name: ReplicaId) -> ReplicaId | None:
-        """Empty a replica's folder; its host comes back as a new replica."""
-        if not self._may_lose(name):
+        """Lose a replica's disk, and start a new replica on its host.
+
+        Does nothing and returns None if a quorum could be lost.
+        """
+        if not self._can_lose(name):
             return None
         self.nodes[name].running = False
         self.lost.add(name)
         return self.add_host(ReplicaId(name.split(".")[0]))
 
     def add_host(self, host: str) -> ReplicaId:
-        """Start a replica with an empty folder."""
+        """Start a replica with an empty data folder."""
         self._number += 1
         name = ReplicaId(f"{host}.{self._number}")
         self._start(name, FakeDisk(Stored()))
@@ -203,7 +209,7 @@
         self.cuts.add((sender, to))
 
     def isolate(self, name: ReplicaId) -> None:
-        """Cut a replica off from all others, both ways."""
+        """Cut the network between a replica and all others, in both directions."""
         for other in self.nodes:
             self.cuts |= {(name, other), (other, name)} if other != name else set()
 
@@ -211,19 +217,20 @@
         node = self.nodes[name]
         if node.running and not node.frozen:
             node.core.transfer()
-            self._take(node)
+            self._handle_outputs(node)
 
     def compact(self, name: ReplicaId) -> None:
         node = self.nodes[name]
         if node.running and not node.frozen:
             data = json.dumps(node.commands).encode()
             node.core.compact(node.core.applied, data)
-            self._take(node)
+            self._handle_outputs(node)
 
     def change(self, name: ReplicaId, wanted: Configuration) -> bool:
-        """Change the replica set, unless only lost disks could then stand in the way.
+        """Start a change of the replica set, and return whether it was accepted.
 
-        A set without a living quorum is lost by the operator, not by the consensus.
+        A set without a quorum of surviving disks isn't proposed, as it would be an
+        operator's error and no fault of the consensus.
         """
         node = self.nodes[name]
         if not node.running or node.frozen or not _keeps_quorum(wanted, self.lost):
@@ -232,13 +239,15 @@
             node.core.propose_configuration(wanted)
         except (Conflict, Unavailable):
             return False
-        self._take(node)
+        self._handle_outputs(node)
         return True
 
-    # Ways through several events ---------------------------------------------
+    # Sequences of events -----------------------------------------------------
 
     def run(self, rounds: int, until: int | None = None) -> None:
-        """Let time pass with a good network and quick disks.
+        """Advance time, with an intact network and fast disks.
+
+        :param rounds: number of ticks.
 
         :param until: stop once this index is committed.
         """
@@ -250,7 +259,7 @@
                 return
 
     def settle(self) -> None:
-        """Deliver and sync until nothing is under way."""
+        """Deliver and sync until no message is in transit."""
         for _ in range(400):
             for name, node in self.nodes.items():
                 if node.disk.unsynced:
@@ -261,7 +270,7 @@
             self.deliver(self.network.index(waiting[0]))
 
     def heal(self) -> None:
-        """Mend all that can be mended."""
+        """Remove all cuts, resume frozen replicas and restart crashed ones."""
         self.cuts.clear()
         for name, node in self.nodes.items():
             node.frozen = False
@@ -278,12 +287,12 @@
         return found.replica if found else None
 
     def voters(self) -> tuple[ReplicaId, ...]:
-        """Return the voters by the furthest log."""
+        """Return the voters according to the replica with the highest commit index."""
         furthest = max(self.nodes.values(), key=lambda node: node.core.commit)
         return furthest.core.configuration.voters
 
     def check_recovery(self) -> None:
-        """Heal everything and see the replicas take and keep a command."""
+        """Heal everything, and check that the replicas commit and retain a command."""
         self.heal()
         for _ in range(60):
             self.run(4)
@@ -296,32 +305,32 @@
             if self.max_commit > before:
                 break
         else:
-            raise AssertionError("no command was committed after everything healed")
+            raise AssertionError("no command was committed after all faults ended")
         self.run(6)
         leader = self.leader()
         assert leader is not None
-        held = self.nodes[leader]
-        wanted = [
+        node = self.nodes[leader]
+        expected = [
             (index, entry.data.decode())
             for index, entry in sorted(self.committed.items())
             if entry.kind is EntryKind.COMMAND
         ]
-        assert held.commands == wanted
+        assert node.commands == expected
 
-    # Inside ------------------------------------------------------------------
+    # Implementation ----------------------------------------------------------
 
     def _start(self, name: ReplicaId, disk: FakeDisk) -> None:
         core = Consensus(name, disk.stored, self.timing, lambda n: self.draw(n))
         node = FakeReplica(name, disk, core)
         self.nodes[name] = node
         self._restore(node, disk.stored.snapshot)
-        self._take(node)
+        self._handle_outputs(node)
 
     def _next_command(self) -> bytes:
         self._number += 1
         return b"c%d" % self._number
 
-    def _take(self, node: FakeReplica) -> None:
+    def _handle_outputs(self, node: FakeReplica) -> None:
         for output in node.core.take_outputs():
             self._perform(node, output)
         self._check(node)
@@ -357,7 +366,7 @@
 
     def _check_read(self, node: FakeReplica, context: int, index: int) -> None:
         accepted_before = node.reads.pop(context)
-        assert index >= accepted_before, "a read misses what was accepted before it"
+        assert index >= accepted_before, "a read misses an entry committed before it"
         self.confirmed_reads += 1
 
     def _check(self, node: FakeReplica) -> None:
@@ -376,21 +385,23 @@
         if term is not None and last:
             assert term == self.committed[last].term, "a committed entry changed"
 
-    def _may_lose(self, name: ReplicaId) -> bool:
-        """Whether every replica set that may still count can spare this one."""
+    def _can_lose(self, name: ReplicaId) -> bool:
+        """Return whether all replica sets that may take effect retain a quorum."""
         lost = self.lost | {name}
-        found = [c for node in self.nodes.values() for c in _countable(node.core)]
+        found = [
+            c for node in self.nodes.values() for c in _list_replica_sets(node.core)
+        ]
         return name not in self.lost and all(
             name not in c.voters or _keeps_quorum(c, lost) for c in found
         )
 
 
-def _countable(core: Consensus) -> list[Configuration]:
+def _list_replica_sets(core: Consensus) -> list[Configuration]:
     """Return the latest committed replica set and those after it."""
     indexes = range(core.commit, core.log.last_index + 1)
     return [core.log.configuration_at(index) for index in indexes]
 
 
 def _keeps_quorum(found: Configuration, lost: set[ReplicaId]) -> bool:
-    kept = [voter for voter in found.voters if voter not in lost]
-    return 2 * len(kept) > len(found.voters)
+    surviving = [voter for voter in found.voters if voter not in lost]
+    return 2 * len(surviving) > len(found.voters)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""What the consensus does in particular failures, one story a test."""
+"""The consensus under specific failures."""
 
 import msgspec
 import pytest
@@ -25,10 +25,10 @@
 FOUNDING = Snapshot(LogIndex(0), Term(0), ABC)
 
 
-def make_led(
+def make_replicas(
     count: int = 3, seed: int = 0, timing: Timing = TIMING
 ) -> tuple[Replicas, ReplicaId, list[ReplicaId]]:
-    """Return replicas with a leader, and the others."""
+    """Return replicas with an elected leader, the leader and the followers."""
     replicas = Replicas(count, seed, timing)
     replicas.run(20, until=1)
     leader = replicas.leader()
@@ -42,8 +42,8 @@
     return core
 
 
-def make_led_core(stored: Stored) -> Consensus:
-    """Return replica a of three, just elected, with its own writes synced."""
+def make_leader_core(stored: Stored) -> Consensus:
+    """Return replica a of three as a new leader, with its own writes synced."""
     core = make_core(stored)
     for _ in range(TIMING.election):
         core.tick()
@@ -73,9 +73,9 @@
         core.synced(tokens[-1])
 
 
-def test_cut_off_replica_does_not_depose_the_leader() -> None:
-    """A replica is cut off for long, then comes back."""
-    replicas, leader, others = make_led()
+def test_partitioned_replica_does_not_depose_the_leader() -> None:
+    """Guards against a higher term after a long partition of a follower."""
+    replicas, leader, others = make_replicas()
     replicas.isolate(others[0])
     replicas.run(60)
     term = replicas.nodes[leader].core.term
@@ -87,11 +87,14 @@
 
 
 @pytest.mark.parametrize("ahead", [None, 0, 1], ids=["equal", "first", "second"])
-def test_voters_whose_time_is_up_at_the_same_moment_elect_one_of_them(
+def test_simultaneous_election_timeouts_elect_one_voter(
     ahead: int | None,
 ) -> None:
-    """The leader is lost, and the others vote for themselves again and again."""
-    replicas, leader, others = make_led()
+    """Guards against repeated split votes after the loss of the leader.
+
+    Both followers time out at the same tick, and one log may be ahead of the other.
+    """
+    replicas, leader, others = make_replicas()
     replicas.draw = lambda _: 0
     replicas.run(2)
     if ahead is not None:
@@ -105,68 +108,81 @@
     assert leading == [others[ahead]] if ahead is not None else len(leading) == 1
 
 
-def test_a_question_for_votes_that_came_too_early_is_soon_asked_again() -> None:
-    """The leader is lost; the other voter notes it a tick later and waits longer."""
+def test_pre_vote_without_a_quorum_is_repeated_soon() -> None:
+    """Guards against a whole election timeout lost to an ignored pre-vote.
+
+    The other voter still counts the lost leader as live, one tick longer.
+    """
     core = make_core(Stored(snapshot=FOUNDING))
-    asked = []
+    requests = []
     for tick in range(2 * TIMING.election):
         core.tick()
-        asked += [tick for message in sent(core, RequestVote) if message.pre]
-    assert asked[0] == TIMING.election - 1
-    assert len(set(asked)) > 2
+        requests += [tick for message in sent(core, RequestVote) if message.pre]
+    assert requests[0] == TIMING.election - 1
+    assert len(set(requests)) > 2
 
 
-HASTY = Timing(heartbeat=1, election=9, first=3, retain=2, append_bytes=40, window=6)
+EARLY = Timing(heartbeat=1, election=9, first=3, retain=2, append_bytes=40, window=6)
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_replicas_that_start_together_elect_soon(seed: int) -> None:
-    """All are killed at once, and callers are refused until somebody leads."""
-    replicas = Replicas(3, seed, HASTY)
-    replicas.run(2 * HASTY.election, until=1)
+    """Guards against a full election timeout after all replicas were killed at once.
+
+    Callers are refused until a leader is elected.
+    """
+    replicas = Replicas(3, seed, EARLY)
+    replicas.run(2 * EARLY.election, until=1)
     for name in replicas.nodes:
         replicas.crash(name)
     for name in replicas.nodes:
         replicas.restart(name)
-    replicas.run(HASTY.election - 1)
+    replicas.run(EARLY.election - 1)
     assert replicas.leader() is not None
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_first_election_that_nobody_hears_is_soon_followed_by_another(
+def test_first_election_before_links_are_up_is_repeated_soon(
     seed: int,
 ) -> None:
-    """After a kill of all programs callers are refused for two seconds, at times."""
-    replicas = Replicas(3, seed, HASTY)
-    replicas.run(2 * HASTY.election, until=1)
+    """Guards against a long second timeout after all replicas were killed at once.
+
+    The first election starts before the replicas are connected and fails; callers were
+    then sometimes refused for two seconds.
+    """
+    replicas = Replicas(3, seed, EARLY)
+    replicas.run(2 * EARLY.election, until=1)
     for name in replicas.nodes:
         replicas.crash(name)
     for name in replicas.nodes:
         replicas.restart(name)
         replicas.isolate(name)
-    replicas.run(2 * HASTY.first)
+    replicas.run(2 * EARLY.first)
     replicas.heal()
-    replicas.run(2 * HASTY.first + HASTY.election // 2)
+    replicas.run(2 * EARLY.first + EARLY.election // 2)
     assert replicas.leader() is not None
 
 
-def test_voters_that_are_linked_after_a_start_elect_at_once() -> None:
-    """After a start callers are refused while linked voters wait out a silence."""
-    replicas = Replicas(3, 1, HASTY)
-    replicas.run(2 * HASTY.election, until=1)
+def test_connected_voters_elect_at_once_after_startup() -> None:
+    """Guards against an election timeout after startup with all voters connected."""
+    replicas = Replicas(3, 1, EARLY)
+    replicas.run(2 * EARLY.election, until=1)
     for name in replicas.nodes:
         replicas.crash(name)
     for name in replicas.nodes:
         replicas.restart(name)
     replicas.campaign_early(next(iter(replicas.nodes)))
-    replicas.run(HASTY.first - 1)
+    replicas.run(EARLY.first - 1)
     assert replicas.leader() is not None
 
 
 @pytest.mark.parametrize("cut", [False, True])
-def test_haste_leaves_a_leader_alone(cut: bool) -> None:
-    """A replica that was killed comes back alone and deposes a leader that serves."""
-    replicas, leader, (other, _) = make_led(seed=1, timing=HASTY)
+def test_early_election_keeps_a_working_leader(cut: bool) -> None:
+    """Guards against an early pre-vote that deposes a working leader.
+
+    A follower is killed and restarted, with or without contact to the leader.
+    """
+    replicas, leader, (other, _) = make_replicas(seed=1, timing=EARLY)
     term = replicas.nodes[leader].core.term
     replicas.crash(other)
     replicas.restart(other)
@@ -174,34 +190,35 @@
         replicas.cut(leader, other)
     replicas.campaign_early(other)
     replicas.campaign_early(leader)
-    replicas.run(3 * HASTY.election)
+    replicas.run(3 * EARLY.election)
     assert replicas.leader() == leader
     assert replicas.nodes[leader].core.term == term
 
 
-def test_one_that_starts_alone_leaves_the_leader_alone() -> None:
-    """A replica is killed and comes back; the leader serves on."""
-    replicas, leader, (other, _) = make_led(seed=1, timing=HASTY)
+def test_restarted_replica_without_contact_keeps_the_leader() -> None:
+    """Guards against a short first timeout that deposes a working leader.
+
+    A follower is killed and restarted, and the leader's messages don't reach it.
+    """
+    replicas, leader, (other, _) = make_replicas(seed=1, timing=EARLY)
     term = replicas.nodes[leader].core.term
     replicas.crash(other)
     replicas.restart(other)
     replicas.cut(leader, other)
-    replicas.run(3 * HASTY.election)
+    replicas.run(3 * EARLY.election)
     assert replicas.leader() == leader
     assert replicas.nodes[leader].core.term == term
 
 
-def test_no_state_counts_as_current_without_a_round_where_elections_come_early() -> (
-    None
-):
-    replicas = Replicas(3, 1, HASTY)
-    replicas.run(2 * HASTY.election, until=1)
+def test_shorter_first_timeout_disables_leases() -> None:
+    replicas = Replicas(3, 1, EARLY)
+    replicas.run(2 * EARLY.election, until=1)
     assert [node.core.lease() for node in replicas.nodes.values()] == [0, 0, 0]
 
 
-def test_cut_off_leader_steps_down_and_takes_nothing() -> None:
-    """A leader loses both followers; operators still reach it."""
-    replicas, leader, _ = make_led()
+def test_partitioned_leader_steps_down_and_refuses_proposals() -> None:
+    """Guards against a leader that still accepts changes without its followers."""
+    replicas, leader, _ = make_replicas()
     core = replicas.nodes[leader].core
     replicas.isolate(leader)
     replicas.run(2 * TIMING.election + 2)
@@ -211,9 +228,9 @@
     assert core.lease() == 0
 
 
-def test_replicas_that_hear_their_leader_refuse_a_vote() -> None:
-    """One follower can't hear the leader, but the other follower can."""
-    replicas, leader, others = make_led()
+def test_replica_in_contact_with_the_leader_ignores_a_vote_request() -> None:
+    """Guards against a change of leader when one of two followers loses contact."""
+    replicas, leader, others = make_replicas()
     replicas.cut(leader, others[0])
     term = replicas.nodes[leader].core.term
     replicas.run(40)
@@ -222,7 +239,11 @@
 
 
 def test_vote_waits_for_the_sync() -> None:
-    """A voter answers, loses power, restarts and votes for another in the same term."""
+    """Guards against two votes in a term.
+
+    A voter answers, loses power before the sync, restarts and votes for another
+    candidate.
+    """
     core = make_core(Stored(snapshot=FOUNDING))
     core.step(B, RequestVote(Term(1), LogIndex(0), Term(0)))
     outputs = core.take_outputs()
@@ -241,10 +262,10 @@
     [(2, 2, True), (3, 2, True), (1, 3, True), (1, 2, False), (9, 1, False)],
 )
 @pytest.mark.parametrize("pre", [True, False])
-def test_vote_goes_to_a_log_that_lacks_nothing(
+def test_vote_is_granted_only_to_an_up_to_date_log(
     last_index: int, last_term: int, granted: bool, pre: bool
 ) -> None:
-    """A replica that missed accepted changes asks for votes; it would undo them."""
+    """Guards against a leader that lacks committed entries and would undo them."""
     core = make_core(Stored(Term(2), None, FOUNDING, (entry(1, 1), entry(2, 2))))
     request = RequestVote(Term(4), LogIndex(last_index), Term(last_term), pre)
     core.step(B, request)
@@ -255,7 +276,10 @@
 
 
 def test_append_answer_waits_for_the_sync() -> None:
-    """A follower acknowledges an entry and loses power before it is on the disk."""
+    """Guards against the loss of an entry that a follower acknowledged.
+
+    The follower loses power before the entry is durable.
+    """
     core = make_core(Stored(snapshot=FOUNDING))
     message = Append(
         Term(1), LogIndex(0), Term(0), (entry(1, 1),), LogIndex(0), 0, sent_tick=3
@@ -267,8 +291,8 @@
     assert [answer.index for answer in sent(core, AppendAnswer)] == [1]
 
 
-def test_late_entries_of_an_old_leader_change_nothing() -> None:
-    """An old leader's message was held up; meanwhile another's entry was accepted."""
+def test_delayed_entries_of_a_former_leader_are_refused() -> None:
+    """Guards against a delayed message that overwrites a newer leader's entry."""
     core = make_core(Stored(Term(2), None, FOUNDING, (entry(1, 2, b"new"),)))
     core.step(
         B,
@@ -282,8 +306,11 @@
 
 
 def test_leader_counts_its_own_entry_only_once_synced() -> None:
-    """Of three, one follower answers quickly while the leader's disk is slow."""
-    replicas, leader, others = make_led()
+    """Guards against a commitment that only one of three replicas has on disk.
+
+    One follower answers quickly while the leader's disk is slow.
+    """
+    replicas, leader, others = make_replicas()
     replicas.isolate(others[1])
     before = replicas.max_commit
     replicas.propose(leader)
@@ -299,8 +326,11 @@
 
 
 def test_entry_of_an_older_term_is_not_committed_by_counting() -> None:
-    """A leader finds an entry of an older term on a quorum and calls it committed."""
-    core = make_led_core(Stored(Term(3), A, FOUNDING, (entry(1, 1), entry(2, 2))))
+    """Guards against the loss of an entry that counted as committed.
+
+    An entry of an older term can be on a quorum and still be overwritten.
+    """
+    core = make_leader_core(Stored(Term(3), A, FOUNDING, (entry(1, 1), entry(2, 2))))
     core.step(B, AppendAnswer(Term(4), True, LogIndex(2), 0, 0, 0))
     assert core.commit == 0
     core.step(B, AppendAnswer(Term(4), True, LogIndex(3), 0, 0, 0))
@@ -308,8 +338,11 @@
 
 
 def test_read_waits_for_a_heartbeat_round() -> None:
-    """A leader that wakes after its successor accepted a change serves an old read."""
-    replicas, leader, _ = make_led()
+    """Guards against an outdated read at a former leader.
+
+    The leader was suspended, and its successor has accepted changes meanwhile.
+    """
+    replicas, leader, _ = make_replicas()
     replicas.freeze(leader, True)
     replicas.run(30)
     successor = max(replicas.leaders.items())[1]
@@ -326,9 +359,13 @@
     assert not replicas.nodes[leader].reads
 
 
-def test_new_leader_holds_reads_until_it_knows_what_is_committed() -> None:
-    """A leader dies right after a change was accepted; a read asks its successor."""
-    core = make_led_core(Stored(Term(1), None, FOUNDING, (entry(1, 1),)))
+def test_new_leader_defers_reads_until_its_first_entry_is_committed() -> None:
+    """Guards against a read that misses a change accepted just before.
+
+    The former leader crashed right after it, and its successor doesn't know the commit
+    index yet.
+    """
+    core = make_leader_core(Stored(Term(1), None, FOUNDING, (entry(1, 1),)))
     core.read(7)
     core.step(B, AppendAnswer(Term(2), True, LogIndex(1), 9, 0, 0))
     assert not [o for o in core.take_outputs() if isinstance(o, ReadReady)]
@@ -338,9 +375,9 @@
     ]
 
 
-def test_reads_of_one_turn_share_a_round() -> None:
-    """Many entry hosts read at once; each costs no heartbeat of its own."""
-    replicas, leader, _ = make_led()
+def test_concurrent_reads_share_a_round() -> None:
+    """Guards against one heartbeat round per read when many entry hosts read."""
+    replicas, leader, _ = make_replicas()
     core = replicas.nodes[leader].core
     for context in range(50):
         core.read(context)
@@ -349,9 +386,9 @@
     assert not [o for o in outputs if isinstance(o, ReadReady)]
 
 
-def test_proposals_of_one_turn_share_a_write() -> None:
-    """Many changes wait at once; one sync and one message a follower serve all."""
-    replicas, leader, _ = make_led()
+def test_concurrent_proposals_share_a_write() -> None:
+    """Guards against one sync, and one message per follower, for each proposal."""
+    replicas, leader, _ = make_replicas()
     core = replicas.nodes[leader].core
     for number in range(64):
         core.propose([b"%d" % number])
@@ -362,8 +399,11 @@
 
 
 def test_learner_is_not_counted() -> None:
-    """Two fresh replicas get the log; then two of the three voters are gone."""
-    replicas, leader, others = make_led()
+    """Guards against learners that count for the quorum.
+
+    Two learners receive the log; then two of the three voters crash.
+    """
+    replicas, leader, others = make_replicas()
     core = replicas.nodes[leader].core
     fresh = [replicas.add_host(host) for host in "de"]
     for name in fresh:
@@ -383,8 +423,8 @@
 
 
 def test_learner_becomes_voter_only_when_caught_up() -> None:
-    """An operator adds an empty replica and counts it at once; then a host is lost."""
-    replicas, leader, others = make_led()
+    """Guards against a voter without the log, which blocks commits at the next loss."""
+    replicas, leader, others = make_replicas()
     fresh = replicas.add_host("d")
     replicas.isolate(fresh)
     core = replicas.nodes[leader].core
@@ -416,15 +456,18 @@
 def test_change_of_several_voters_is_refused(
     voters: tuple[ReplicaId, ...], message: str
 ) -> None:
-    replicas, leader, _ = make_led()
+    replicas, leader, _ = make_replicas()
     core = replicas.nodes[leader].core
     with pytest.raises(Conflict, match=message):
         core.propose_configuration(Configuration(voters))
 
 
 def test_second_change_waits_for_the_first() -> None:
-    """Two operators replace two replicas at the same moment."""
-    replicas, leader, _ = make_led()
+    """Guards against quorums without a common replica.
+
+    Two operators replace two replicas concurrently.
+    """
+    replicas, leader, _ = make_replicas()
     core = replicas.nodes[leader].core
     core.propose_configuration(changes.add_learner(core.configuration, ReplicaId("d")))
     wanted = changes.add_learner(core.configuration, ReplicaId("e"))
@@ -432,23 +475,26 @@
         core.propose_configuration(wanted)
 
 
-def test_new_leader_changes_nothing_before_its_own_entry_is_committed() -> None:
-    """A leader began a change and was cut off; its successor begins another."""
-    core = make_led_core(Stored(Term(1), A, FOUNDING))
+def test_new_leader_refuses_changes_before_its_first_entry_is_committed() -> None:
+    """Guards against two concurrent changes of the replica set.
+
+    A partitioned leader has started one, and its successor starts another.
+    """
+    core = make_leader_core(Stored(Term(1), A, FOUNDING))
     with pytest.raises(Unavailable, match="lead yet"):
         core.propose_configuration(changes.remove(ABC, C))
 
 
 def test_leader_does_not_remove_itself() -> None:
-    replicas, leader, _ = make_led()
+    replicas, leader, _ = make_replicas()
     core = replicas.nodes[leader].core
     with pytest.raises(Conflict, match="transfer the leadership first"):
         core.propose_configuration(changes.remove(core.configuration, leader))
 
 
-def test_transfer_hands_over_without_an_outage() -> None:
-    """A leader is stopped on purpose; nothing waits for an election timeout."""
-    replicas, leader, _ = make_led()
+def test_transfer_needs_no_election_timeout() -> None:
+    """Guards against an outage when a leader is stopped as planned."""
+    replicas, leader, _ = make_replicas()
     replicas.propose(leader)
     replicas.transfer(leader)
     assert replicas.nodes[leader].core.propose([b"late"]) is None
@@ -457,9 +503,9 @@
     replicas.check_recovery()
 
 
-def test_transfer_that_fails_ends() -> None:
-    """The chosen successor dies; the leader takes changes again."""
-    replicas, leader, others = make_led()
+def test_failed_transfer_ends() -> None:
+    """Guards against a leader that refuses changes after its successor crashed."""
+    replicas, leader, others = make_replicas()
     replicas.transfer(leader)
     successor = replicas.nodes[leader].core._state.successor
     replicas.crash(successor)
@@ -469,9 +515,9 @@
     assert replicas.nodes[leader].core.propose([b"x"]) is not None
 
 
-def test_follower_behind_the_floor_gets_the_snapshot() -> None:
-    """A replica was down while the others dropped the entries that it needs."""
-    replicas, leader, others = make_led()
+def test_follower_that_needs_discarded_entries_gets_the_snapshot() -> None:
+    """Guards against a follower that can't catch up after a long downtime."""
+    replicas, leader, others = make_replicas()
     replicas.crash(others[0])
     for _ in range(5):
         replicas.propose(leader, 3)
@@ -485,8 +531,11 @@
 
 
 def test_snapshot_carries_the_replica_set() -> None:
-    """A replica restarts from a snapshot that covers the change of the set."""
-    replicas, leader, others = make_led()
+    """Guards against the loss of the replica set at a restart from a snapshot.
+
+    The snapshot covers the entry that changed the set.
+    """
+    replicas, leader, others = make_replicas()
     fresh = replicas.add_host("d")
     core = replicas.nodes[leader].core
     replicas.change(leader, changes.add_learner(core.configuration, fresh))
@@ -499,8 +548,11 @@
 
 
 @pytest.mark.parametrize("behind", [3, 40])
-def test_follower_with_another_history_catches_up_in_few_steps(behind: int) -> None:
-    """An old leader comes back with entries that were never committed."""
+def test_refusal_names_the_first_index_of_the_conflicting_term(behind: int) -> None:
+    """Guards against one message per entry to find where the logs diverge.
+
+    A former leader returns with entries that were never committed.
+    """
     stored = Stored(
         Term(2), None, FOUNDING, tuple(entry(i, 2) for i in range(1, behind))
     )
@@ -515,8 +567,11 @@
 
 
 def test_follower_lease_counts_from_its_own_tick() -> None:
-    """A follower is cut off, and old heartbeats reach it long after they were sent."""
-    replicas, leader, others = make_led()
+    """Guards against a lease that delayed heartbeats extend.
+
+    They reach a partitioned follower long after they were sent.
+    """
+    replicas, leader, others = make_replicas()
     replicas.run(5)
     follower = replicas.nodes[others[0]]
     assert follower.core.lease() > 0
@@ -537,8 +592,11 @@
     assert follower.core.lease() == 0
 
 
-def test_follower_vouches_only_for_what_it_has_applied() -> None:
-    """A heartbeat tells of commits that the follower hasn't got yet."""
+def test_follower_has_no_lease_before_it_applied_the_commits() -> None:
+    """Guards against outdated reads at a follower.
+
+    A heartbeat announces commits whose entries the follower hasn't received yet.
+    """
     core = make_core(Stored(snapshot=FOUNDING))
     heartbeat = Append(
         Term(1), LogIndex(0), Term(0), (), LogIndex(0), 0, sent_tick=1, echo_tick=0
@@ -551,9 +609,13 @@
     assert other.lease() == 0
 
 
-def test_lost_disk_under_the_old_name_would_lose_what_was_accepted() -> None:
-    """Of three, the leader and one follower hold a change; the follower's disk goes."""
-    replicas, leader, others = make_led()
+def test_replica_with_a_lost_disk_has_no_vote_until_it_is_added() -> None:
+    """Guards against the loss of an accepted change after the loss of a disk.
+
+    The leader and one of two followers hold the change. The follower loses its disk and
+    would, under its old name, elect the other follower without the change.
+    """
+    replicas, leader, others = make_replicas()
     replicas.isolate(others[1])
     replicas.propose(leader)
     replicas.run(2)
@@ -573,14 +635,14 @@
     replicas.run(5)
     assert replicas.change(leader, changes.promote(core.configuration, fresh))
     replicas.run(5)
-    # a second host is lost right after the repair
+    # another host is lost right after the repair
     replicas.lose_disk(leader)
     replicas.check_recovery()
 
 
-def test_single_replica_serves_alone() -> None:
-    """The one-command demo starts one replica."""
-    replicas, leader, _ = make_led(1)
+def test_single_replica_is_a_quorum() -> None:
+    """Covers the demo, which starts a single replica with one command."""
+    replicas, leader, _ = make_replicas(1)
     replicas.propose(leader, 3)
     replicas.settle()
     replicas.read(leader)
--- a/tests/test_consensus_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -1,7 +1,7 @@
-"""Random schedules over the pure consensus, each step checked by the fakes.
+"""Random schedules of events for the consensus, with invariants checked at each step.
 
-Two drivers: seeds that walk long schedules cheaply, and a rule-based machine whose
-failures shrink to the few steps that matter.
+There are two drivers: long schedules from a seed, which are cheap, and a rule-based
+state machine, whose failures shrink to the relevant steps.
 """
 
 import random
@@ -19,14 +19,14 @@
 from ibishead.ids import ReplicaId
 
 
-class Walk:
-    """One schedule, drawn from a seed."""
+class RandomSchedule:
+    """A random schedule generated from a seed."""
 
     def __init__(self, count: int, seed: int, weights: dict[str, int]) -> None:
         self.random = random.Random(seed)
-        # every second schedule has replicas that elect sooner after a start
-        hasty = replace(TIMING, first=2)
-        self.replicas = Replicas(count, seed, hasty if seed % 2 else TIMING)
+        # odd seeds use a shorter timeout for the first election after startup
+        early_election = replace(TIMING, first=2)
+        self.replicas = Replicas(count, seed, early_election if seed % 2 else TIMING)
         self.weights = weights
 
     def run(self, steps: int) -> None:
@@ -36,17 +36,17 @@
             action()
         self.replicas.check_recovery()
 
-    def any(self) -> ReplicaId:
+    def pick(self) -> ReplicaId:
         return self.random.choice(list(self.replicas.nodes))
 
-    def leading(self) -> ReplicaId:
-        return self.replicas.leader() or self.any()
+    def pick_leader(self) -> ReplicaId:
+        return self.replicas.leader() or self.pick()
 
     def do_tick(self) -> None:
-        self.replicas.tick(self.any())
+        self.replicas.tick(self.pick())
 
     def do_campaign_early(self) -> None:
-        self.replicas.campaign_early(self.any())
+        self.replicas.campaign_early(self.pick())
 
     def do_tick_all(self) -> None:
         for name in self.replicas.nodes:
@@ -54,8 +54,8 @@
 
     def do_deliver(self) -> None:
         for _ in range(self.random.randrange(1, 12)):
-            early = self.random.random() < 0.7
-            position = 0 if early else self.random.randrange(100)
+            in_order = self.random.random() < 0.7
+            position = 0 if in_order else self.random.randrange(100)
             duplicate = self.random.random() < 0.05
             self.replicas.deliver(position, duplicate=duplicate)
 
@@ -64,85 +64,85 @@
             self.replicas.drop(self.random.randrange(100))
 
     def do_sync(self) -> None:
-        self.replicas.sync(self.any())
+        self.replicas.sync(self.pick())
 
     def do_sync_all(self) -> None:
         for name in self.replicas.nodes:
             self.replicas.sync(name)
 
-    def do_good_time(self) -> None:
+    def do_fault_free_period(self) -> None:
         self.replicas.run(self.random.randrange(1, 8))
 
     def do_propose(self) -> None:
-        self.replicas.propose(self.any(), self.random.randrange(1, 4))
+        self.replicas.propose(self.pick(), self.random.randrange(1, 4))
 
     def do_propose_to_leader(self) -> None:
-        self.replicas.propose(self.leading(), self.random.randrange(1, 4))
+        self.replicas.propose(self.pick_leader(), self.random.randrange(1, 4))
 
     def do_read(self) -> None:
-        often = self.random.random() < 0.7
-        self.replicas.read(self.leading() if often else self.any())
+        prefer_leader = self.random.random() < 0.7
+        self.replicas.read(self.pick_leader() if prefer_leader else self.pick())
 
     def do_crash(self) -> None:
-        self.replicas.crash(self.any(), self.random.randrange(4))
+        self.replicas.crash(self.pick(), self.random.randrange(4))
 
     def do_restart(self) -> None:
-        self.replicas.restart(self.any())
+        self.replicas.restart(self.pick())
 
-    def do_bounce(self) -> None:
-        name = self.any()
+    def do_crash_and_restart(self) -> None:
+        name = self.pick()
         self.replicas.crash(name, self.random.randrange(4))
         self.replicas.restart(name)
 
     def do_freeze(self) -> None:
-        often = self.random.random() < 0.5
-        self.replicas.freeze(self.leading() if often else self.any(), True)
+        prefer_leader = self.random.random() < 0.5
+        self.replicas.freeze(self.pick_leader() if prefer_leader else self.pick(), True)
 
-    def do_wake(self) -> None:
+    def do_resume(self) -> None:
         nodes = self.replicas.nodes
         frozen = [name for name, node in nodes.items() if node.frozen]
         if frozen:
             name = self.random.choice(frozen)
             self.replicas.freeze(name, False)
-            # an old leader believes that it leads until it hears of another
+            # a deposed leader doesn't know yet that another one was elected
             self.replicas.read(name)
             self.replicas.propose(name)
 
     def do_cut(self) -> None:
-        one, other = self.any(), self.any()
+        one, other = self.pick(), self.pick()
         self.replicas.cut(one, other)
         if self.random.random() < 0.5:
             self.replicas.cut(other, one)
 
-    def do_mend_cuts(self) -> None:
+    def do_heal_cuts(self) -> None:
         self.replicas.cuts.clear()
 
     def do_transfer(self) -> None:
-        self.replicas.transfer(self.leading())
+        self.replicas.transfer(self.pick_leader())
 
     def do_compact(self) -> None:
-        self.replicas.compact(self.any())
+        self.replicas.compact(self.pick())
 
     def do_lose_disk(self) -> None:
-        self.replicas.lose_disk(self.any())
+        self.replicas.lose_disk(self.pick())
 
     def do_add_learner(self) -> None:
         fresh = [n for n in self.replicas.nodes if n not in self.replicas.voters()]
         if fresh and self.replicas.leader():
-            leader = self.leading()
+            leader = self.pick_leader()
             current = self.replicas.nodes[leader].core.configuration
             wanted = changes.add_learner(current, self.random.choice(fresh))
             self.replicas.change(leader, wanted)
 
     def do_promote(self) -> None:
-        leader = self.leading()
+        leader = self.pick_leader()
         current = self.replicas.nodes[leader].core.configuration
         if current.learners:
             chosen = self.random.choice(current.learners)
             self.replicas.change(leader, changes.promote(current, chosen))
 
     def do_remove(self) -> None:
-        leader = self.leading()
+        leader = self.pick_leader()
         current = self.replicas.nodes[leader].core.configuration
         others = [v for v in current.voters if v in self.replicas.lost]
         if len(current.voters) > 3:
@@ -152,7 +152,7 @@
             self.replicas.change(leader, changes.remove(current, chosen))
 
 
-#: Long good times with all kinds of faults in between.
+#: Long periods without faults, with all kinds of faults in between.
 MIXED = {
     "tick": 12,
     "campaign_early": 3,
@@ -161,16 +161,16 @@
     "drop": 3,
     "sync": 8,
     "sync_all": 8,
-    "good_time": 6,
+    "fault_free_period": 6,
     "propose": 3,
     "propose_to_leader": 6,
     "read": 8,
     "crash": 2,
     "restart": 5,
     "freeze": 3,
-    "wake": 3,
+    "resume": 3,
     "cut": 3,
-    "mend_cuts": 2,
+    "heal_cuts": 2,
     "transfer": 2,
     "compact": 3,
     "lose_disk": 1,
@@ -179,7 +179,7 @@
     "remove": 3,
 }
 
-#: One election after another, with restarts and freezes between vote and answer.
+#: Frequent elections, with restarts and suspensions between vote and answer.
 UNSTEADY = {
     "tick": 30,
     "campaign_early": 6,
@@ -190,11 +190,11 @@
     "sync_all": 10,
     "propose_to_leader": 6,
     "read": 10,
-    "bounce": 6,
+    "crash_and_restart": 6,
     "freeze": 6,
-    "wake": 4,
+    "resume": 4,
     "cut": 3,
-    "mend_cuts": 2,
+    "heal_cuts": 2,
     "transfer": 3,
 }
 
@@ -213,21 +213,21 @@
 def test_seeded_schedules(
     count: int, weights: dict[str, int], steps: int, schedules: int
 ) -> None:
-    """Mixed faults never break a promise, and the replicas recover at the end."""
+    """No mix of faults violates an invariant, and the replicas recover afterwards."""
 
     @settings(max_examples=schedules)
     @given(st.integers(0, 2**32))
-    def walk(seed: int) -> None:
-        Walk(count, seed, weights).run(steps)
+    def run_schedule(seed: int) -> None:
+        RandomSchedule(count, seed, weights).run(steps)
 
-    walk()
+    run_schedule()
 
 
 NAMES = st.integers(0, 7)
 
 
 class ReplicasMachine(RuleBasedStateMachine):
-    """The same events as rules, for failures that shrink."""
+    """The same events as rules, whose failures shrink."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -239,7 +239,7 @@
         return names[number % len(names)]
 
     @rule(rounds=st.integers(1, 6))
-    def spend_good_time(self, rounds: int) -> None:
+    def run_without_faults(self, rounds: int) -> None:
         self.replicas.run(rounds)
 
     @rule(number=NAMES, times=st.integers(1, 8))
@@ -295,7 +295,7 @@
             self.replicas.cut(self.name(to), self.name(sender))
 
     @rule()
-    def mend_cuts(self) -> None:
+    def heal_cuts(self) -> None:
         self.replicas.cuts.clear()
 
     @rule(number=NAMES)
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -1,4 +1,4 @@
-"""How long replicas are without a leader, in virtual time."""
+"""Duration of elections after the loss of the leader, in virtual time."""
 
 import heapq
 import itertools
@@ -12,25 +12,25 @@
 from ibishead.control.raftstate import Role, Send, Timing, Write
 from ibishead.ids import LogIndex, ReplicaId, Term
 
-#: Seconds of a tick, and the timing of a registry's log.
-TICK = 0.1
+#: Duration of a tick in seconds, and the timing of a registry's log.
+TICK_SECONDS = 0.1
 TIMING = Timing(heartbeat=2, election=9, first=3)
 
-#: Seconds by which voters that were founded together are apart.
-SKEW = 0.002
+#: Maximum phase difference in seconds between the ticks of voters founded together.
+SKEW_SECONDS = 0.002
 
-#: Seconds until the leader stops; the first election is over by then.
-CALM = 5.0
+#: Seconds after which the leader stops; the first election has ended by then.
+CALM_SECONDS = 5.0
 
-#: Seconds without a leader that callers bear: they have four, of which one is lost to
-#: the call that met the old leader.
-LIMIT = 3.0
+#: Seconds without a leader that callers tolerate: their deadline is 4 s, of which the
+#: attempt at the former leader takes 1 s.
+MAX_OUTAGE_SECONDS = 3.0
 
 
 class Timeline:
-    """Replicas that tick in step, with links and disks that take their time.
+    """Simulation of replicas with nearly synchronous ticks and slow links and disks.
 
-    :param delay: seconds that a message and a sync take.
+    :param delay: average duration of a message and of a sync, in seconds.
     """
 
     def __init__(self, count: int, delay: float, seed: int) -> None:
@@ -45,62 +45,62 @@
         }
         self.delay = delay
         self._numbers = itertools.count()
-        self._due: list[tuple] = []
+        self._events: list[tuple] = []
         for name in names:
-            self._plan(self.draw.uniform(0, SKEW), name, "tick", None)
+            self._schedule(self.draw.uniform(0, SKEW_SECONDS), name, "tick", None)
 
     def run(self) -> Iterator[float]:
-        """Yield the time after each thing that has happened."""
+        """Process events in order, and yield the time of each."""
         while True:
-            now, _, name, what, told = heapq.heappop(self._due)
+            now, _, name, event, payload = heapq.heappop(self._events)
             node = self.nodes.get(name)
             if node is None:
                 continue
-            match what:
+            match event:
                 case "tick":
                     node.tick()
-                    self._plan(now + TICK, name, "tick", None)
+                    self._schedule(now + TICK_SECONDS, name, "tick", None)
                 case "message":
-                    node.step(*told)
+                    node.step(*payload)
                 case "sync":
-                    node.synced(told)
-            self._take(now, name)
+                    node.synced(payload)
+            self._handle_outputs(now, name)
             yield now
 
     def leaders(self) -> list[ReplicaId]:
         return [n for n, node in self.nodes.items() if node.role is Role.LEADER]
 
-    def _take(self, now: float, name: ReplicaId) -> None:
+    def _handle_outputs(self, now: float, name: ReplicaId) -> None:
         while outputs := self.nodes[name].take_outputs():
             for output in outputs:
-                taken = now + self.delay * self.draw.uniform(0.9, 1.1)
+                ends = now + self.delay * self.draw.uniform(0.9, 1.1)
                 match output:
                     case Send(to, message):
-                        self._plan(taken, to, "message", (name, message))
+                        self._schedule(ends, to, "message", (name, message))
                     case Write(token):
-                        self._plan(taken, name, "sync", token)
+                        self._schedule(ends, name, "sync", token)
 
-    def _plan(self, when: float, name: ReplicaId, what: str, told: object) -> None:
-        heapq.heappush(self._due, (when, next(self._numbers), name, what, told))
+    def _schedule(
+        self, at: float, name: ReplicaId, event: str, payload: object
+    ) -> None:
+        heapq.heappush(self._events, (at, next(self._numbers), name, event, payload))
 
 
 @pytest.mark.parametrize(
     ("count", "lost", "delay"),
     [(3, 1, 0.0015), (5, 1, 0.0015), (5, 2, 0.0015), (3, 1, 0.06), (5, 2, 0.06)],
 )
-def test_callers_are_not_left_without_a_leader_for_long(
-    count: int, lost: int, delay: float
-) -> None:
-    """Voters in step elect nobody, several times in a row."""
+def test_lost_leader_is_replaced_in_time(count: int, lost: int, delay: float) -> None:
+    """Guards against repeated split votes of voters with synchronous ticks."""
     longest = 0.0
     for seed in range(100):
         timeline = Timeline(count, delay, seed)
-        moments = timeline.run()
-        stopped = next(t for t in moments if t > CALM and timeline.leaders())
-        gone = timeline.leaders()
-        gone += [name for name in timeline.nodes if name not in gone]
-        for name in gone[:lost]:
+        times = timeline.run()
+        stopped = next(t for t in times if t > CALM_SECONDS and timeline.leaders())
+        removed = timeline.leaders()
+        removed += [name for name in timeline.nodes if name not in removed]
+        for name in removed[:lost]:
             del timeline.nodes[name]
-        elected = next(t for t in moments if timeline.leaders())
+        elected = next(t for t in times if timeline.leaders())
         longest = max(longest, elected - stopped)
-    assert longest <= LIMIT
+    assert longest <= MAX_OUTAGE_SECONDS
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""What a replica finds on its disk after crashes and damage."""
+"""Durable state of a replica after crashes, damage and full disks."""
 
 import logging
 import os
@@ -70,7 +70,7 @@
         ),
     ],
 )
-def test_load_returns_what_was_written(writes: list[Write], expected: tuple) -> None:
+def test_load_returns_the_written_state(writes: list[Write], expected: tuple) -> None:
     files = FakeFiles()
     storage = open_storage(files)
     for item in writes:
@@ -94,14 +94,17 @@
     seed=st.integers(0, 1000),
 )
 @settings(max_examples=400)
-def test_crash_at_any_operation_keeps_what_was_answered(
+def test_crash_at_any_operation_keeps_acknowledged_writes(
     sizes: list[int], countdown: int, every: int, seed: int
 ) -> None:
-    """The power fails anywhere, also within the start that follows."""
+    """Guards against the loss of acknowledged writes.
+
+    The power fails at any operation, and once more during the following startup.
+    """
     files = FakeFiles(seed)
     open_storage(files)
     files.countdown = countdown
-    answered = 0
+    acknowledged = 0
     try:
         storage = open_storage(files)
         for position, size in enumerate(sizes, start=1):
@@ -109,7 +112,7 @@
             if position % every == 0:
                 item = replace(item, snapshot=snapshot(position - 1))
             storage.write(item)
-            answered = position
+            acknowledged = position
     except Crash:
         pass
     files.crash()
@@ -121,15 +124,18 @@
     files.countdown = None
     term, _, indexes, snapshot_index = load(files)
     last = indexes[-1] if indexes else snapshot_index
-    assert last in (answered, answered + 1)
+    assert last in (acknowledged, acknowledged + 1)
     assert term == last
     assert indexes == list(range(snapshot_index + 1, last + 1))
 
 
-def test_torn_last_record_is_cut_off_and_logged(
+def test_torn_last_record_is_truncated_and_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """The power fails while a record is written; nobody was told of it."""
+    """Guards against a startup failure after a power failure during a write.
+
+    The incomplete record was never acknowledged.
+    """
     files = FakeFiles()
     storage = open_storage(files)
     storage.write(write(entry(1)))
@@ -146,7 +152,7 @@
 
 @pytest.mark.parametrize("position", range(0, 400, 7))
 def test_damage_stops_the_replica(position: int) -> None:
-    """One bit of the log turns over; the replica would apply another change."""
+    """Guards against the application of a changed command after a bit flip."""
     files = FakeFiles()
     storage = open_storage(files)
     for index in range(1, 6):
@@ -172,13 +178,16 @@
         (encode_record(b"") + b"\x01", [Record(b""), TornTail(16)]),
     ],
 )
-def test_split_tells_a_torn_tail(data: bytes, expected: list) -> None:
+def test_decode_records_detects_a_torn_tail(data: bytes, expected: list) -> None:
     assert list(decode_records(data)) == expected
 
 
 @pytest.mark.parametrize("lost", [slice(0, 512), slice(512, 1024)])
-def test_zeroed_sector_before_a_whole_record_is_damage(lost: slice) -> None:
-    """A disk returns zeros for a sector in the middle; records follow behind."""
+def test_zeroed_sector_before_an_intact_record_is_damage(lost: slice) -> None:
+    """Guards against the truncation of synced records as a torn tail.
+
+    The disk returns zeros for a sector that has intact records after it.
+    """
     data = bytearray(encode_record(b"z" * 1200) + encode_record(b"later"))
     data[lost] = bytes(512)
     with pytest.raises(DamagedRecord):
@@ -200,7 +209,7 @@
         load(files)
 
 
-def test_joined_replica_without_a_log_stops() -> None:
+def test_missing_log_of_a_joined_replica_stops_it() -> None:
     files = FakeFiles()
     save_identity(files, Identity(ReplicaId("a.1"), "cluster"))
     with pytest.raises(StorageFault, match="log is missing"):
@@ -217,8 +226,11 @@
         load(files)
 
 
-def test_snapshot_lets_old_segments_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hundreds of changes and a restart: the disk holds the last few only."""
+def test_snapshot_removes_old_segments(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a log that grows without bound.
+
+    After a hundred changes with snapshots, only the last segments remain.
+    """
     monkeypatch.setattr("ibishead.control.storage._SEGMENT_BYTES", 200)
     files = FakeFiles()
     storage = open_storage(files)
@@ -233,8 +245,11 @@
     assert load(files) == (7, "b", [], 100)
 
 
-def test_crash_between_a_leaders_snapshot_and_its_record() -> None:
-    """The power fails when the snapshot is in place and the log not yet reset."""
+def test_crash_between_a_leaders_snapshot_and_the_log_reset() -> None:
+    """Guards against entries that conflict with an installed snapshot.
+
+    The power fails when the snapshot is stored and the log not yet reset.
+    """
     files = FakeFiles()
     storage = open_storage(files)
     storage.write(write(entry(1), entry(2)))
@@ -247,8 +262,8 @@
     assert load(files) == (1, None, [10], 9)
 
 
-def test_full_disk_refuses_and_loses_nothing() -> None:
-    """The disk fills up; the write is refused, and goes through once there is room."""
+def test_write_on_a_full_disk_can_be_retried() -> None:
+    """Guards against lost entries after a write was refused for lack of space."""
     files = FakeFiles()
     storage = open_storage(files)
     storage.write(write(entry(1)))
@@ -263,7 +278,7 @@
 
 
 def test_failed_sync_is_final() -> None:
-    """A sync fails once and would succeed the next time, with the pages gone."""
+    """Guards against a retried sync, which succeeds although the pages are lost."""
     files = FakeFiles()
     storage = open_storage(files)
     files.sync_fails = True
@@ -275,7 +290,10 @@
 
 
 def test_empty_folder_is_a_new_replica() -> None:
-    """A host gets a new disk; under its old name it would vote a second time."""
+    """Guards against two votes in a term by a host that got a new disk.
+
+    Under its old name it would vote a second time.
+    """
     names = iter(["one", "two"])
     files = FakeFiles()
     first = load_identity(files, HostId("szeged-a"), lambda: next(names))
@@ -286,14 +304,14 @@
     assert fresh.replica == "szeged-a.two"
 
 
-def test_folder_that_lost_its_identity_stops() -> None:
+def test_folder_without_its_identity_is_refused() -> None:
     files = FakeFiles()
     open_storage(files)
     with pytest.raises(StorageFault, match="lost its identity"):
         load_identity(files, HostId("szeged-a"), lambda: "x")
 
 
-def test_folder_of_another_host_stops() -> None:
+def test_folder_of_another_host_is_refused() -> None:
     files = FakeFiles()
     load_identity(files, HostId("szeged-a"), lambda: "x")
     with pytest.raises(StorageFault, match="belongs to host szeged-a"):
@@ -301,7 +319,7 @@
 
 
 def test_folder_is_locked(tmp_path: Path) -> None:
-    """An operator starts a second process on the same folder."""
+    """Guards against a second process on the same folder."""
     folder = DataFolder(tmp_path / "data")
     with pytest.raises(StorageFault, match="in use") as caught:
         DataFolder(tmp_path / "data")
@@ -310,7 +328,7 @@
     DataFolder(tmp_path / "data").close()
 
 
-def test_real_folder_keeps_what_was_written(tmp_path: Path) -> None:
+def test_data_folder_keeps_written_state(tmp_path: Path) -> None:
     folder = DataFolder(tmp_path)
     identity = load_identity(folder, HostId("szeged-a"), lambda: "x")
     storage = Storage(folder, identity)
@@ -324,10 +342,10 @@
     folder.close()
 
 
-def test_real_folder_takes_back_a_part_that_found_room(
+def test_data_folder_removes_a_partial_write(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disk fills up in the middle of a record."""
+    """Guards against a partial record when the disk fills up during a write."""
     folder = DataFolder(tmp_path)
     folder.append("log", b"whole")
     real = os.write
