--- a/benchmarks/lone_log.py
+++ b/benchmarks/lone_log.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ibishead.clock import SystemClock
-from ibishead.control.driver import Pace
+from ibishead.control.driver import ReplicaOptions
 from ibishead.control.folder import DataFolder
 from ibishead.control.peering import PeerLinks
 from ibishead.control.raftstate import Timing
@@ -71,7 +71,12 @@
         clock,
         random.Random(1).randrange,
         lambda: f"{time.monotonic_ns():x}",
-        Pace(tick=0.002, timing=TIMING, answer=60.0, snapshot_entries=snapshot_entries),
+        ReplicaOptions(
+            tick_seconds=0.002,
+            timing=TIMING,
+            answer_timeout=60.0,
+            snapshot_entries=snapshot_entries,
+        ),
     )
     await replica.start()
     while not replica.is_leader():
--- a/src/ibishead/control/assembly.py
+++ b/src/ibishead/control/assembly.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from ibishead.clock import Clock
-from ibishead.control.driver import Pace
+from ibishead.control.driver import ReplicaOptions
 from ibishead.control.folder import DataFolder
 from ibishead.control.machine import StateMachine
 from ibishead.control.peering import PeerLinks
@@ -28,7 +28,7 @@
     machine: StateMachine,
     clock: Clock,
     on_failure: Callable[[StorageFault], None],
-    pace: Pace | None = None,
+    pace: ReplicaOptions | None = None,
 ) -> LogReplica:
     """Return a replica on the settings' data folder; `LogReplica.start` begins.
 
@@ -55,7 +55,7 @@
             clock,
             secrets.randbelow,
             lambda: secrets.token_hex(_NAME_BYTES),
-            pace or Pace(repair=settings.repair_after.total_seconds()),
+            pace or ReplicaOptions(repair_after=settings.repair_after.total_seconds()),
             on_failure,
         )
     except StorageFault:
--- a/src/ibishead/control/consensus.py
+++ b/src/ibishead/control/consensus.py
@@ -35,11 +35,11 @@
 )
 from ibishead.ids import LogIndex, ReplicaId, Term
 
-__all__ = ["Consensus", "Stored"]
+__all__ = ["Consensus", "PersistentState"]
 
 
 @dataclass(frozen=True)
-class Stored:
+class PersistentState:
     """Persistent state that a replica loads from its data folder at startup."""
 
     term: Term = Term(0)
@@ -52,8 +52,8 @@
     """The consensus state machine of one replica.
 
     :param replica: this replica's identity; an emptied disk gets a new one.
-    :param stored: contents of its data folder; the caller has already restored the
-        state machine from the snapshot.
+    :param stored: contents of its data folder; the state machine must hold the state of
+        the snapshot.
     :param timing: durations in ticks.
     :param draw: returns a random integer from 0 to its argument minus one, which
         randomizes election timeouts so that replicas rarely campaign at once.
@@ -62,7 +62,7 @@
     def __init__(
         self,
         replica: ReplicaId,
-        stored: Stored,
+        stored: PersistentState,
         timing: Timing,
         draw: Callable[[int], int],
     ) -> None:
@@ -133,7 +133,7 @@
         replica without contact to the quorum.
         """
         state = self._state
-        if state.timing.first:
+        if state.timing.first_election:
             return 0
         if state.role is not Role.LEADER:
             return state.lease()
@@ -142,7 +142,10 @@
         return max(0, state.timing.election - replication.quorum_age(state))
 
     def silence(self, replica: ReplicaId) -> int:
-        """Return the ticks since a replica last answered; 0 unless this one leads."""
+        """Return the ticks since a replica last answered; 0 unless this one leads.
+
+        The time before the leader's own election doesn't count.
+        """
         state = self._state
         progress = state.progress.get(replica)
         if progress is None:
--- a/src/ibishead/control/driver.py
+++ b/src/ibishead/control/driver.py
@@ -32,42 +32,42 @@
 from ibishead.errors import ErrorCode, StorageFault
 from ibishead.ids import HostId, LogIndex, ReplicaId, Term
 
-__all__ = ["DataFiles", "LogDriver", "Pace", "PeerSender"]
+__all__ = ["DataFiles", "LogDriver", "PeerSender", "ReplicaOptions"]
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
-class Pace:
+class ReplicaOptions:
     """Durations, limits and repair options of a replica.
 
-    :param tick: duration of one tick of the consensus, in seconds.
+    :param tick_seconds: duration of one tick of the consensus, in seconds.
     :param timing: durations in ticks, and limits of the log.
-    :param answer: timeout of a proposal or read, in seconds.
-    :param repair: seconds of silence after which a voter counts as lost.
-    :param readmit: replace a voter at once, without an operator's command, if its host
-        returns with an emptied disk; the host's new replica takes its place.
-    :param voters: number of voters that automatic repair maintains; 0 to leave the
-        number as it is.
+    :param answer_timeout: timeout of a proposal or read, in seconds.
+    :param repair_after: seconds of silence after which a voter counts as lost.
+    :param replace_emptied: replace a voter at once, without an operator's command, if
+        its host returns with an emptied disk; the host's new replica takes its place.
+    :param target_voters: number of voters that automatic repair maintains; 0 to leave
+        the number as it is.
     :param snapshot_entries: applied entries between two snapshots.
     :param snapshot_bytes: bytes of applied commands between two snapshots.
-    :param reserve: free disk space in bytes below which changes are refused.
+    :param reserve_bytes: free disk space in bytes below which changes are refused.
     """
 
-    tick: float = 0.05
+    tick_seconds: float = 0.05
     timing: Timing = Timing(heartbeat=2, election=20)
-    answer: float = 5.0
-    repair: float = 300.0
-    readmit: bool = False
-    voters: int = 0
+    answer_timeout: float = 5.0
+    repair_after: float = 300.0
+    replace_emptied: bool = False
+    target_voters: int = 0
     snapshot_entries: int = 1000
     snapshot_bytes: int = 32 * 1024 * 1024
-    reserve: int = 64 * 1024 * 1024
+    reserve_bytes: int = 64 * 1024 * 1024
 
     @property
-    def election(self) -> float:
+    def election_timeout(self) -> float:
         """Election timeout in seconds."""
-        return self.timing.election * self.tick
+        return self.timing.election * self.tick_seconds
 
 
 class PeerSender(Protocol):
@@ -118,10 +118,10 @@
         links: PeerSender,
         clock: Clock,
         draw: Callable[[int], int],
-        pace: Pace,
+        options: ReplicaOptions,
         on_failure: Callable[[StorageFault], None],
     ) -> None:
-        self.pace = pace
+        self.options = options
         self.waiters = Waiters()
         self.reads: dict[int, asyncio.Future[LogIndex | None]] = {}
         self.failed: StorageFault | None = None
@@ -150,7 +150,7 @@
         self.identity = identity
         self._storage = Storage(self._files, identity)
         stored = self._storage.load()
-        self.core = Consensus(identity.replica, stored, self.pace.timing, self._draw)
+        self.core = Consensus(identity.replica, stored, self.options.timing, self._draw)
         self._last_tick = self._clock.monotonic()
         if stored.snapshot.index:
             self._restore(stored.snapshot)
@@ -163,11 +163,13 @@
         replaced before it answers. Ticks beyond three election timeouts are skipped, as
         they make no difference.
         """
-        due_ticks = int((self._clock.monotonic() - self._last_tick) / self.pace.tick)
+        due_ticks = int(
+            (self._clock.monotonic() - self._last_tick) / self.options.tick_seconds
+        )
         if due_ticks <= 0 or self.failed:
             return 0
-        self._last_tick += due_ticks * self.pace.tick
-        for _ in range(min(due_ticks, 3 * self.pace.timing.election)):
+        self._last_tick += due_ticks * self.options.tick_seconds
+        for _ in range(min(due_ticks, 3 * self.options.timing.election)):
             self.core.tick()
         self.waiters.expire(self._last_tick)
         self.schedule_flush()
@@ -179,7 +181,7 @@
         """Return the seconds for which the applied state counts as current."""
         self.advance()
         since = self._clock.monotonic() - self._last_tick
-        lease = self.core.lease() * self.pace.tick - since
+        lease = self.core.lease() * self.options.tick_seconds - since
         return 0.0 if self.failed else max(0.0, lease)
 
     def step(self, sender: ReplicaId, message: PeerMessage) -> None:
@@ -197,7 +199,9 @@
         write.
         """
         if not self._has_free_space:
-            self._has_free_space = self._files.free_bytes() >= self.pace.reserve
+            self._has_free_space = (
+                self._files.free_bytes() >= self.options.reserve_bytes
+            )
             self.schedule_flush()
         return self._has_free_space and not self._write_blocked
 
@@ -205,7 +209,7 @@
         """Return a future for the result of an entry that was just proposed."""
         self.schedule_flush()
         return self.waiters.add_proposal(
-            index, term, self._last_tick + self.pace.answer
+            index, term, self._last_tick + self.options.answer_timeout
         )
 
     def schedule_flush(self) -> None:
@@ -305,8 +309,8 @@
 
     def _take_snapshot(self) -> None:
         applied = self.core.applied
-        enough_entries = applied - self._snapshot_index >= self.pace.snapshot_entries
-        if enough_entries or self._applied_bytes >= self.pace.snapshot_bytes:
+        enough_entries = applied - self._snapshot_index >= self.options.snapshot_entries
+        if enough_entries or self._applied_bytes >= self.options.snapshot_bytes:
             self.core.compact(applied, self._machine.capture())
             self._snapshot_index = applied
             self._applied_bytes = 0
--- a/src/ibishead/control/election.py
+++ b/src/ibishead/control/election.py
@@ -40,8 +40,8 @@
     """
     state.contact = state.now
     span = state.timing.election
-    if state.timing.first and not state.leader_seen:
-        span = min(span, state.timing.first * (1 + state.attempts))
+    if state.timing.first_election and not state.leader_seen:
+        span = min(span, state.timing.first_election * (1 + state.attempts))
     state.deadline = state.now + span + state.draw(span)
 
 
@@ -92,7 +92,7 @@
     a pre-vote changes no term.
     """
     campaigning = state.role in (Role.CANDIDATE, Role.LEADER)
-    if campaigning or state.leader_seen or not state.timing.first:
+    if campaigning or state.leader_seen or not state.timing.first_election:
         return
     attempts = state.attempts
     pre_campaign(state)
--- a/src/ibishead/control/force.py
+++ b/src/ibishead/control/force.py
@@ -13,7 +13,7 @@
 from ibishead.control.state import ControlState
 from ibishead.ids import HostId, LogIndex, ReplicaId
 
-__all__ = ["ForceTracker", "LEASE_LIMIT_SECONDS"]
+__all__ = ["InForceTracker", "LEASE_LIMIT_SECONDS"]
 
 #: Longest lease in seconds of a replica that has lost its leader, for which its state
 #: still counts as current.
@@ -28,7 +28,7 @@
 MAX_APPLY_TIMES = 1024
 
 
-class ForceTracker:
+class InForceTracker:
     """Finds the holders, at all replicas, that haven't applied a change."""
 
     def __init__(
@@ -50,11 +50,11 @@
         # changes applied before this process started count from now on
         self._apply_times = deque([(LogIndex(0), clock.monotonic())], MAX_APPLY_TIMES)
 
-    def note_change(self) -> None:
+    def record_change(self) -> None:
         """Record the time at which this replica applied its latest change."""
         self._apply_times.append((self._state.changed, self._clock.monotonic()))
 
-    def note_replicas(self) -> None:
+    def record_replicas(self) -> None:
         """Record the current members of the replica set; to be called every round."""
         now = self._clock.monotonic()
         replicas = self._replica.replicas()
@@ -72,12 +72,13 @@
     async def find_waiting(self, index: LogIndex) -> list[HostId]:
         """Return the holders that may not have applied a change.
 
-        A replica that doesn't answer is listed by its host, in place of its holders.
+        A replica that doesn't answer or hasn't applied the change itself is listed by
+        its host, until the leases of its holders must have ended.
 
         :param index: log index of the change.
         """
         waiting = set(self._publisher.list_waiting(index))
-        self.note_replicas()
+        self.record_replicas()
         for replica in list(self._recent_replicas):
             if replica != self._name:
                 waiting.update(await self._ask(replica, index))
--- a/src/ibishead/control/founding.py
+++ b/src/ibishead/control/founding.py
@@ -45,7 +45,7 @@
         host = replica_host(replica)
         self.known[host] = KnownReplica(replica, cluster, now)
 
-    def name_founders(self, hosts: Iterable[HostId]) -> None:
+    def set_founders(self, hosts: Iterable[HostId]) -> None:
         """Set the hosts of the initial voters, of which the first founds the cluster.
 
         This serves hosts that discover each other only at run time.
--- a/src/ibishead/control/granting.py
+++ b/src/ibishead/control/granting.py
@@ -74,7 +74,7 @@
             now = self._clock.monotonic()
             # Permits go to registered targets only, so that nobody holds one yet
             # when none has ever been registered.
-            pause = 0.0 if self._state.targets.untouched else TAKEOVER_PAUSE
+            pause = 0.0 if self._state.targets.is_unused else TAKEOVER_PAUSE
             self._book = PermitBook(now + pause)
 
     def ask(self, link: Link, ask: AskPermit) -> None:
--- a/src/ibishead/control/liveness.py
+++ b/src/ibishead/control/liveness.py
@@ -11,12 +11,12 @@
 from ibishead.control.membership import Member
 from ibishead.ids import LogIndex, TargetId
 
-__all__ = ["REATTACH_GRACE", "OrphanWatch"]
+__all__ = ["REATTACH_GRACE_SECONDS", "OrphanTracker"]
 
 #: Seconds without a monitoring replica after which a target is retired, long enough for
 #: its agent to connect to another replica. Together with the silence after which a link
 #: is closed, a dead target is retired within 5 s.
-REATTACH_GRACE = 2.5
+REATTACH_GRACE_SECONDS = 2.5
 
 
 @dataclass(frozen=True)
@@ -25,7 +25,7 @@
     since: float
 
 
-class OrphanWatch:
+class OrphanTracker:
     """Tracks since when targets have been without a monitoring replica."""
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
             if orphan is None or orphan.attachment != member.attachment:
                 orphan = _Orphan(member.attachment, now)
             found[record.target] = orphan
-            if now - orphan.since >= REATTACH_GRACE:
+            if now - orphan.since >= REATTACH_GRACE_SECONDS:
                 due.append(
                     RetireTarget(record.target, record.incarnation, member.attachment)
                 )
--- a/src/ibishead/control/membership.py
+++ b/src/ibishead/control/membership.py
@@ -73,7 +73,7 @@
         return member is not None and member.record.incarnation == incarnation
 
     @property
-    def untouched(self) -> bool:
+    def is_unused(self) -> bool:
         """Whether no target has ever registered."""
         return not self._last_nonces
 
--- a/src/ibishead/control/raftlog.py
+++ b/src/ibishead/control/raftlog.py
@@ -24,10 +24,10 @@
 
 
 class RaftLog:
-    """Log entries by index, from the one after ``floor`` to the last.
+    """Log entries by index, from the one after ``compacted_index`` to the last.
 
-    The floor may lie before the snapshot: some entries that the snapshot covers are
-    retained for followers that lag only slightly.
+    That index may be lower than the snapshot's: some entries that the snapshot covers
+    are retained for followers that lag only slightly.
     """
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[Entry] = ()) -> None:
@@ -40,12 +40,12 @@
 
     @property
     def last_index(self) -> LogIndex:
-        """Index of the last entry, or of the floor if there is none."""
+        """Index of the last entry, or ``compacted_index`` if there is none."""
         return LogIndex(self._compacted_index + len(self._entries))
 
     @property
     def last_term(self) -> Term:
-        """Term of the last entry, or of the floor if there is none."""
+        """Term of the last entry, or that at ``compacted_index`` if there is none."""
         return self._entries[-1].term if self._entries else self._compacted_term
 
     @property
--- a/src/ibishead/control/raftstate.py
+++ b/src/ibishead/control/raftstate.py
@@ -50,12 +50,12 @@
     :param heartbeat: interval between a leader's heartbeats.
     :param election: election timeout, in ticks without contact to a leader. A random
         part of the same length is added, so that candidates rarely compete.
-    :param first: timeout of the first election after startup, to which a random part of
-        the same length is added. It grows by this value with each further attempt until
-        a leader is known. 0 uses ``election`` instead. Otherwise, replicas that have
-        just started may elect another leader while an older one still relies on its
-        lease, so there are no leases and every current read takes a round to the
-        quorum.
+    :param first_election: timeout of the first election after startup, to which a
+        random part of the same length is added. It grows by this value with each
+        further attempt until a leader is known. 0 means the same as ``election``. With
+        any other value, replicas that have just started may elect another leader while
+        an older one still relies on its lease; so there are no leases then, and no
+        state counts as current without a round to the quorum.
     :param retain: maximum number of entries retained in memory that the snapshot
         covers.
     :param retain_bytes: maximum size of these entries' data in bytes.
@@ -65,7 +65,7 @@
 
     heartbeat: int = 1
     election: int = 10
-    first: int = 0
+    first_election: int = 0
     retain: int = 1024
     retain_bytes: int = 16 * 1024 * 1024
     append_bytes: int = 1024 * 1024
@@ -140,7 +140,7 @@
     :param contact: the latest tick of the leader that the follower echoed; -1 for none.
     :param echo: the latest tick of the follower's own that its answers carried; -1 for
         none.
-    :param installing: tick at which a snapshot was sent; -1 for none.
+    :param snapshot_tick: tick at which a snapshot was sent; -1 for none.
     """
 
     next: int
@@ -193,10 +193,10 @@
     :param deadline: tick at which an election starts.
     :param round: the leader's latest heartbeat round.
     :param elected: tick at which this replica became leader.
-    :param settled: whether a leader has been known since startup.
+    :param leader_seen: whether a leader has been known since startup.
     :param attempts: number of pre-votes started at a deadline since startup.
     :param own_term_index: index of the empty entry that starts this leader's term.
-    :param early_reads: reads received before ``own_term_index`` was committed.
+    :param deferred_reads: reads received before ``own_term_index`` was committed.
     :param restore: a snapshot to restore once it is durable.
     """
 
@@ -352,9 +352,9 @@
         while self._pending_writes and self._pending_writes[0].token <= token:
             self.durable = max(self.durable, self._pending_writes.popleft().last_index)
         while self._unsent_messages and self._unsent_messages[0][0] <= self._synced:
-            held = self._unsent_messages.popleft()[1]
-            if held.message.term >= self.term:
-                self.outputs.append(held)
+            released = self._unsent_messages.popleft()[1]
+            if released.message.term >= self.term:
+                self.outputs.append(released)
 
     def issue_applies(self) -> None:
         """Output the entries and snapshots to apply: committed and locally durable."""
--- a/src/ibishead/control/repair.py
+++ b/src/ibishead/control/repair.py
@@ -56,10 +56,10 @@
             f"{lost} was the leader and has handed over the leadership",
             "repeat the command, so that the new leader removes it",
             code=ErrorCode.NOT_LEADER,
-            retry_after=timedelta(seconds=replica.pace.election),
+            retry_after=timedelta(seconds=replica.options.election_timeout),
         )
     same_host = replica_host(lost) == replica_host(new)
-    if same_host or replica.core.silence(lost) >= replica.pace.timing.election:
+    if same_host or replica.core.silence(lost) >= replica.options.timing.election:
         await _remove(replica, lost)
         await _promote(replica, new)
     else:
@@ -84,7 +84,7 @@
         reads and forwards commands.
         """
         replica = self._replica
-        if self._running or not replica.pace.readmit:
+        if self._running or not replica.options.replace_emptied:
             return None
         current = replica.core.configuration
         for host in sorted(replica.founding.known):
@@ -137,7 +137,7 @@
         """
         replica = self._replica
         current = replica.core.configuration
-        if self._running or len(current.voters) >= replica.pace.voters:
+        if self._running or len(current.voters) >= replica.options.target_voters:
             return None
         if replica.clock.monotonic() < self._next_attempt:
             return None
@@ -187,7 +187,7 @@
     def _choose_repair(self) -> tuple[ReplicaId, HostId] | None:
         replica = self._replica
         core = replica.core
-        max_silence = replica.pace.repair / replica.pace.tick
+        max_silence = replica.options.repair_after / replica.options.tick_seconds
         silences = [(core.silence(voter), voter) for voter in core.configuration.voters]
         hosts = [
             host for host in replica.founding.known if _has_new_replica(replica, host)
@@ -196,7 +196,7 @@
             # Failure: a voter's disk was emptied and its host has returned under a new
             # identity. The old one can never answer again, so waiting for the silence
             # would only add time in which a second loss blocks all changes.
-            if replica.pace.readmit and replica_host(voter) in hosts:
+            if replica.options.replace_emptied and replica_host(voter) in hosts:
                 return voter, replica_host(voter)
         silent = [found for found in silences if found[0] >= max_silence]
         if not silent or not hosts:
@@ -226,7 +226,7 @@
                 "check the new host and its links, then repeat the command",
                 code=ErrorCode.NO_QUORUM,
             )
-        await asyncio.sleep(replica.pace.tick)
+        await asyncio.sleep(replica.options.tick_seconds)
 
 
 async def _promote(replica: "LogReplica", new: ReplicaId) -> None:
@@ -235,7 +235,7 @@
     # the new replica may not have received the previous change yet
     deadline = replica.clock.monotonic() + _PROMOTE_TIMEOUT_SECONDS
     while not replica.core.is_caught_up(new) and replica.clock.monotonic() < deadline:
-        await asyncio.sleep(replica.pace.tick)
+        await asyncio.sleep(replica.options.tick_seconds)
     current = replica.core.configuration
     await replica.change_configuration(configuration.promote(current, new))
 
--- a/src/ibishead/control/replica.py
+++ b/src/ibishead/control/replica.py
@@ -10,7 +10,7 @@
 from ibishead.clock import Clock
 from ibishead.control import repair
 from ibishead.control.consensus import Consensus
-from ibishead.control.driver import DataFiles, LogDriver, Pace, PeerSender
+from ibishead.control.driver import DataFiles, LogDriver, PeerSender, ReplicaOptions
 from ibishead.control.founding import Founding
 from ibishead.control.identity import (
     Identity,
@@ -74,10 +74,10 @@
         clock: Clock,
         draw: Callable[[int], int],
         draw_name: Callable[[], str],
-        pace: Pace | None = None,
+        options: ReplicaOptions | None = None,
         on_failure: Callable[[StorageFault], None] = lambda fault: None,
     ) -> None:
-        self.pace = pace or Pace()
+        self.options = options or ReplicaOptions()
         self.clock = clock
         self.founding = Founding(first_hosts, draw_name)
         self._files = files
@@ -90,7 +90,7 @@
             links,
             clock,
             draw,
-            self.pace,
+            self.options,
             on_failure,
         )
         self._reader = FrameReader()
@@ -167,7 +167,10 @@
         core = self.core
         if core.leader is not None or not core.configuration.voters:
             return True
-        return self.clock.monotonic() - self._leader_seen_at <= self.pace.election
+        return (
+            self.clock.monotonic() - self._leader_seen_at
+            <= self.options.election_timeout
+        )
 
     def is_leader(self) -> bool:
         """Return whether this replica is a leader whose quorum still answers."""
@@ -194,11 +197,11 @@
             return
         successor = self.core.transfer()
         self._driver.schedule_flush()
-        deadline = self.clock.monotonic() + 2 * self.pace.election
+        deadline = self.clock.monotonic() + 2 * self.options.election_timeout
         while successor is not None and self.clock.monotonic() < deadline:
             if self.core.leader not in (None, self.name):
                 return
-            await asyncio.sleep(self.pace.tick / 5)
+            await asyncio.sleep(self.options.tick_seconds / 5)
         raise Unavailable(
             "no other replica took over the leadership",
             "check with `ibishead status` that the other replicas run",
@@ -245,7 +248,7 @@
         message = self._reader.read(frame)
         if isinstance(message, Introduce):
             self._handle_introduction(frame, message)
-        elif message is not None and self._check_cluster(frame):
+        elif message is not None and self._accept_cluster(frame):
             self._handle_message(frame.sender, message)
 
     @property
@@ -260,7 +263,7 @@
                 "the disk of the control log is full",
                 "free some space on it; nothing that was accepted is lost",
                 code=ErrorCode.STORAGE_FULL,
-                retry_after=timedelta(seconds=self.pace.answer),
+                retry_after=timedelta(seconds=self.options.answer_timeout),
             )
         core = self.core
         index = core.propose([command])
@@ -306,14 +309,14 @@
         self, result: Awaitable[_T], timeout_seconds: float | None = None
     ) -> _T:
         try:
-            async with asyncio.timeout(timeout_seconds or self.pace.answer):
+            async with asyncio.timeout(timeout_seconds or self.options.answer_timeout):
                 return await result
         except TimeoutError as error:
             raise describe_unknown() from error
 
     def _describe_no_quorum(self) -> Unavailable:
-        ticks = self.pace.timing.election + self._draw(self.pace.timing.election)
-        return describe_no_quorum(ticks * self.pace.tick)
+        ticks = self.options.timing.election + self._draw(self.options.timing.election)
+        return describe_no_quorum(ticks * self.options.tick_seconds)
 
     # Other replicas ----------------------------------------------------------
 
@@ -335,7 +338,7 @@
             case Forwarded(number) | ReadAnswer(number) | Replaced(number):
                 self._answers.settle(number, message)
             case Refuse(number, code, reason, remedy):
-                wait = timedelta(seconds=self.pace.election)
+                wait = timedelta(seconds=self.options.election_timeout)
                 error = Unavailable(reason, remedy, code=code, retry_after=wait)
                 self._answers.settle(number, error)
             case Introduce():
@@ -371,7 +374,7 @@
             raise self._describe_no_quorum()
         return Replaced(number, await repair.replace(self, lost, host))
 
-    def _check_cluster(self, frame: PeerFrame) -> bool:
+    def _accept_cluster(self, frame: PeerFrame) -> bool:
         if not self._identity.cluster and frame.cluster and frame.receiver:
             # the frame is addressed to this identity, so a leader has added it to the
             # cluster
@@ -407,7 +410,7 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(self.pace.tick)
+            await asyncio.sleep(self.options.tick_seconds)
             with contextlib.suppress(IbisheadError):
                 self._run_round()
             if self.core.leader is not None:
--- a/src/ibishead/control/server.py
+++ b/src/ibishead/control/server.py
@@ -7,7 +7,7 @@
 
 from ibishead.clock import Clock
 from ibishead.control.commands import AnnounceReplica
-from ibishead.control.force import ForceTracker
+from ibishead.control.force import InForceTracker
 from ibishead.control.granting import PermitDesk
 from ibishead.control.machine import Replica
 from ibishead.control.operators import OperatorApi
@@ -73,7 +73,7 @@
             self._deliver,
             make_client_context(peer) if peer is not None else None,
         )
-        self._force = ForceTracker(
+        self._force = InForceTracker(
             name, state, replica, self._publisher, self._relay, clock
         )
         self._api = OperatorApi(
@@ -157,7 +157,7 @@
 
     def _schedule_publish(self) -> None:
         # All that is committed in one turn of the loop goes out as one delta
-        self._force.note_change()
+        self._force.record_change()
         if not self._scheduled:
             self._scheduled = True
             asyncio.get_running_loop().call_soon(self._publish)
--- a/src/ibishead/control/storage.py
+++ b/src/ibishead/control/storage.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ibishead.control.consensus import Stored
+from ibishead.control.consensus import PersistentState
 from ibishead.control.folder import Files
 from ibishead.control.identity import Identity, read_checked, write_atomically
 from ibishead.control.peers import Configuration, Entry, Snapshot
@@ -68,7 +68,7 @@
         self._snapshot_index = -1
         self._vote: tuple[Term, ReplicaId | None] = (Term(0), None)
 
-    def load(self) -> Stored:
+    def load(self) -> PersistentState:
         """Return the stored state.
 
         A torn last record was never acknowledged, so it is truncated.
@@ -97,7 +97,7 @@
         if entries and not remaining:
             # the next entries won't continue the ones that were discarded here
             self._append(_LogRecord(*self._vote, reset=True))
-        return Stored(*self._vote, snapshot, remaining)
+        return PersistentState(*self._vote, snapshot, remaining)
 
     def write(self, write: Write) -> None:
         """Perform a write, and return once it is synced.
--- a/src/ibishead/control/upkeep.py
+++ b/src/ibishead/control/upkeep.py
@@ -11,9 +11,9 @@
     Command,
     RetireTarget,
 )
-from ibishead.control.force import ForceTracker
+from ibishead.control.force import InForceTracker
 from ibishead.control.granting import PermitDesk
-from ibishead.control.liveness import OrphanWatch
+from ibishead.control.liveness import OrphanTracker
 from ibishead.control.machine import Replica
 from ibishead.control.membership import Member
 from ibishead.control.relay import Relay
@@ -51,7 +51,7 @@
         service: ControlService,
         desk: PermitDesk,
         relay: Relay,
-        force: ForceTracker,
+        force: InForceTracker,
         clock: Clock,
     ) -> None:
         self._announcement = announcement
@@ -62,7 +62,7 @@
         self._relay = relay
         self._force = force
         self._clock = clock
-        self._watch = OrphanWatch()
+        self._watch = OrphanTracker()
         self._counted_to = self._leased_at = clock.monotonic()
 
     async def run(self) -> None:
@@ -85,7 +85,7 @@
         """
         now = self._clock.monotonic()
         self._relay.review()
-        self._force.note_replicas()
+        self._force.record_replicas()
         if self._replica.lease() > 0:
             self._leased_at = now
         elif now - self._leased_at > LEASE_GRACE:
--- a/src/ibishead/registry/server.py
+++ b/src/ibishead/registry/server.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from ibishead.clock import Clock
-from ibishead.control.driver import Pace
+from ibishead.control.driver import ReplicaOptions
 from ibishead.control.folder import DataFolder
 from ibishead.control.identity import load_identity, replica_host
 from ibishead.control.peering import PeerLinks
@@ -177,15 +177,15 @@
         def draw_name() -> str:
             return secrets.token_hex(_NAME_BYTES)
 
-        pace = Pace(
-            tick=0.1,
-            timing=Timing(heartbeat=2, election=9, first=FIRST_ELECTION),
-            answer=0.8,
-            repair=self._settings.repair_after,
-            readmit=True,
-            voters=count_voters(self._settings.losses),
+        pace = ReplicaOptions(
+            tick_seconds=0.1,
+            timing=Timing(heartbeat=2, election=9, first_election=FIRST_ELECTION),
+            answer_timeout=0.8,
+            repair_after=self._settings.repair_after,
+            replace_emptied=True,
+            target_voters=count_voters(self._settings.losses),
             snapshot_bytes=SNAPSHOT_BYTES,
-            reserve=DISK_RESERVE,
+            reserve_bytes=DISK_RESERVE,
         )
         try:
             identity = load_identity(folder, self._settings.host, draw_name)
@@ -253,5 +253,5 @@
             enough = len(founders) >= wanted or waited >= LONGEST_WAIT
             if founders and enough and waited >= SETTLE_TIME:
                 logger.info("founding", extra={"founders": ",".join(founders)})
-                self.replica.founding.name_founders(founders)
+                self.replica.founding.set_founders(founders)
                 return
--- a/tests/control/replica_fakes.py
+++ b/tests/control/replica_fakes.py
@@ -10,7 +10,7 @@
 from tests.fake_files import FakeFiles
 
 from ibishead.clock import SystemClock
-from ibishead.control.driver import Pace
+from ibishead.control.driver import ReplicaOptions
 from ibishead.control.identity import Identity, replica_host
 from ibishead.control.peering import Introduce, ReplicaMessage
 from ibishead.control.raftstate import Timing
@@ -18,13 +18,13 @@
 from ibishead.ids import HostId, ReplicaId
 from ibishead.messages import PeerFrame
 
-PACE = Pace(
-    tick=0.01,
+OPTIONS = ReplicaOptions(
+    tick_seconds=0.01,
     timing=Timing(heartbeat=2, election=15),
-    answer=2.0,
-    repair=0.5,
+    answer_timeout=2.0,
+    repair_after=0.5,
     snapshot_entries=50,
-    reserve=1,
+    reserve_bytes=1,
 )
 
 
@@ -123,7 +123,7 @@
 
     names: list[HostId]
     first: tuple[HostId, ...]
-    pace: Pace = PACE
+    options: ReplicaOptions = OPTIONS
     hosts: dict[HostId, Host] = field(default_factory=dict)
     cuts: set[tuple[HostId, HostId]] = field(default_factory=set)
     silent: set[HostId] = field(default_factory=set)
@@ -142,7 +142,7 @@
             clock,
             self.random.randrange,
             lambda: f"{self.random.getrandbits(48):x}",
-            self.pace,
+            self.options,
         )
         self.hosts[host] = Host(replica, machine, files, clock)
         await replica.start()
--- a/tests/control/test_force.py
+++ b/tests/control/test_force.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ibishead.clock import ManualClock
-from ibishead.control.force import LEASE_LIMIT_SECONDS, ForceTracker
+from ibishead.control.force import LEASE_LIMIT_SECONDS, InForceTracker
 from ibishead.control.publish import Publisher
 from ibishead.messages import Holders
 
@@ -28,8 +28,8 @@
     publisher = Publisher(log.state, lambda: 1.0, clock)
     replica = FakeReplica("c1", ("c2", "c3"))
     relay = FakeRelay(answers)
-    tracker = ForceTracker(C1, log.state, replica, publisher, relay, clock)
-    log.state.on_change = tracker.note_change
+    tracker = InForceTracker(C1, log.state, replica, publisher, relay, clock)
+    log.state.on_change = tracker.record_change
     clock.step(100.0)
     log.apply(make_submission("s1", 0))
     return tracker, clock
@@ -68,7 +68,7 @@
     A replica is replaced while an entry host still has a lease from it.
     """
     tracker, clock = make_tracker({"c2": None, "c3": Holders(1, 1)})
-    tracker.note_replicas()
+    tracker.record_replicas()
     tracker._replica.voters = ("c1", "c3")
     clock.step(LEASE_LIMIT_SECONDS - 0.1)
     assert await tracker.find_waiting(1) == ["c2"]
@@ -87,7 +87,7 @@
     log = Log()
     log.apply(make_submission("s1", 0))
     publisher = Publisher(log.state, lambda: 1.0, clock)
-    fresh = ForceTracker(
+    fresh = InForceTracker(
         C1,
         log.state,
         FakeReplica("c1", ("c2",)),
--- a/tests/control/test_group.py
+++ b/tests/control/test_group.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ibishead.control.commands import encode_command
-from ibishead.control.liveness import REATTACH_GRACE
+from ibishead.control.liveness import REATTACH_GRACE_SECONDS
 from ibishead.control.server import ControlServer
 from ibishead.errors import Unavailable
 from ibishead.ids import Incarnation, TargetId
@@ -112,7 +112,7 @@
     await trio.lose("c2")
     await wait_for(lambda: trio.find_replica() == "c3")
     # longer than the grace period after which the target would be retired
-    await asyncio.sleep(REATTACH_GRACE + 1.0)
+    await asyncio.sleep(REATTACH_GRACE_SECONDS + 1.0)
     member = trio.replica("c1").state.targets.members[T1]
     assert member.record.incarnation == incarnation
     await agent.stop()
@@ -130,7 +130,7 @@
     late = encode_command(make_registration("n1", replica=former))
     await trio.replica("c1").propose(late)
     await wait_for(lambda: trio.find_replica() == "c3")
-    await asyncio.sleep(REATTACH_GRACE + 1.0)
+    await asyncio.sleep(REATTACH_GRACE_SECONDS + 1.0)
     member = trio.replica("c1").state.targets.members[T1]
     assert (member.record.incarnation, member.replica) == (incarnation, "c3")
     await agent.stop()
--- a/tests/control/test_liveness.py
+++ b/tests/control/test_liveness.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ibishead.control.commands import AttachTarget
-from ibishead.control.liveness import REATTACH_GRACE, OrphanWatch
+from ibishead.control.liveness import REATTACH_GRACE_SECONDS, OrphanTracker
 from ibishead.ids import Incarnation, ReplicaId, TargetId
 
 from .support import Log, make_registration
@@ -23,12 +23,12 @@
 def test_sweep_retires_unmonitored_targets(watched, attaches, due):
     log = Log()
     log.apply(make_registration("n1"))
-    watch = OrphanWatch()
+    watch = OrphanTracker()
     members = log.state.targets.members
     assert watch.sweep(members.values(), lambda _: watched[0], 10.0) == []
     if attaches:
         log.apply(AttachTarget(T1, Incarnation(1), ReplicaId("c2")))
-    later = 10.0 + REATTACH_GRACE
+    later = 10.0 + REATTACH_GRACE_SECONDS
     commands = watch.sweep(members.values(), lambda _: watched[1], later)
     assert [command.target for command in commands] == [T1] * due
 
@@ -40,10 +40,10 @@
     """
     log = Log()
     log.apply(make_registration("n1"))
-    watch = OrphanWatch()
+    watch = OrphanTracker()
     members = log.state.targets.members
     watch.sweep(members.values(), lambda _: False, 0.0)
-    (command,) = watch.sweep(members.values(), lambda _: False, REATTACH_GRACE)
+    (command,) = watch.sweep(members.values(), lambda _: False, REATTACH_GRACE_SECONDS)
     log.apply(AttachTarget(T1, Incarnation(1), ReplicaId("c2")))
     log.apply(command)
     assert log.state.targets.is_live(T1, Incarnation(1))
--- a/tests/control/test_replica.py
+++ b/tests/control/test_replica.py
@@ -7,7 +7,7 @@
 
 import pytest
 import pytest_asyncio
-from tests.control.replica_fakes import PACE, Cluster, ListMachine, wait_until
+from tests.control.replica_fakes import OPTIONS, Cluster, ListMachine, wait_until
 from tests.fake_files import FakeFiles
 
 from ibishead.clock import SystemClock
@@ -111,7 +111,7 @@
     """Guards against a leader that was replaced while its process was suspended."""
     leader = cluster.hosts[await cluster.find_leader()]
     assert claims_authority(leader.replica)
-    leader.clock.frozen += 2 * PACE.election
+    leader.clock.frozen += 2 * OPTIONS.election_timeout
     assert not claims_authority(leader.replica)
 
 
@@ -139,7 +139,7 @@
 
     The links to the lost leader stay open, and another replica already leads.
     """
-    cluster = Cluster([A, B, C], (A, B, C), replace(PACE, answer=60.0))
+    cluster = Cluster([A, B, C], (A, B, C), replace(OPTIONS, answer_timeout=60.0))
     for host in (A, B, C):
         await cluster.start(host)
     lost = await cluster.find_leader()
@@ -148,7 +148,7 @@
     cluster.silent.add(lost)
     request = asyncio.ensure_future(ask(follower))
     await wait_until(lambda: cluster.leader() not in (None, lost))
-    await asyncio.wait({request}, timeout=20 * PACE.election)
+    await asyncio.wait({request}, timeout=20 * OPTIONS.election_timeout)
     ended = request.done()
     request.cancel()
     await asyncio.gather(request, return_exceptions=True)
@@ -176,7 +176,7 @@
     """Guards against refused changes while all replicas start for the first time."""
     cluster = Cluster([A, B, C], (A, B, C))
     replica = (await cluster.start(A)).replica
-    await asyncio.sleep(3 * PACE.election)
+    await asyncio.sleep(3 * OPTIONS.election_timeout)
     assert replica.expects_leader()
     await cluster.stop()
 
@@ -187,7 +187,7 @@
     await cluster.find_leader()
     follower = cluster.hosts[followers(cluster)[0]].replica
     await wait_until(lambda: follower.lease() > 0)
-    assert follower.lease() <= PACE.election
+    assert follower.lease() <= OPTIONS.election_timeout
     cluster.isolate(followers(cluster)[0])
     await wait_until(lambda: follower.lease() == 0)
 
@@ -342,8 +342,8 @@
     and the learner must be promoted.
     """
     names = [HostId(f"c{number}") for number in (1, 2, 3, 4)]
-    pace = replace(PACE, readmit=True, voters=3)
-    cluster = Cluster(names, tuple(names[:3]), pace)
+    options = replace(OPTIONS, replace_emptied=True, target_voters=3)
+    cluster = Cluster(names, tuple(names[:3]), options)
     for name in names:
         await cluster.start(name)
     leader = await cluster.find_leader()
@@ -418,7 +418,7 @@
     cluster = Cluster([A, B, C], (A, B, C))
     for host in (A, B):
         await cluster.start(host)
-    await asyncio.sleep(3 * PACE.election)
+    await asyncio.sleep(3 * OPTIONS.election_timeout)
     assert cluster.leader() is None
     await cluster.start(C)
     await cluster.find_leader()
@@ -426,7 +426,7 @@
 
 
 async def test_single_replica_is_a_quorum() -> None:
-    cluster = Cluster([A], (A,), replace(PACE, answer=30.0))
+    cluster = Cluster([A], (A,), replace(OPTIONS, answer_timeout=30.0))
     host = await cluster.start(A)
     await cluster.find_leader()
     assert await host.replica.propose(b"x") == b"1"
@@ -446,7 +446,7 @@
             except Unavailable as error:
                 if error.code is not ErrorCode.NO_QUORUM:
                     raise
-                await asyncio.sleep(replica.pace.tick)
+                await asyncio.sleep(replica.options.tick_seconds)
             else:
                 return
 
@@ -483,7 +483,7 @@
             clock,
             lambda bound, number=number: (number * 7) % bound,
             lambda host=host: f"{host}1",
-            replace(PACE, timing=replace(PACE.timing, election=40)),
+            replace(OPTIONS, timing=replace(OPTIONS.timing, election=40)),
         )
         await replicas[host].start()
     # the followers learn of a new leader shortly after its election
--- a/tests/control/test_server.py
+++ b/tests/control/test_server.py
@@ -7,7 +7,7 @@
 import trustme
 from tests.control.lone import LoneReplica
 
-from ibishead.control.liveness import REATTACH_GRACE
+from ibishead.control.liveness import REATTACH_GRACE_SECONDS
 from ibishead.control.server import ControlServer
 from ibishead.control.state import ControlState
 from ibishead.control.upkeep import ROUND_INTERVAL
@@ -139,7 +139,7 @@
 
 async def test_silent_agent_is_gone(control):
     """An agent's host freezes: its link stays open, yet nobody answers on it."""
-    assert SILENCE_LIMIT + REATTACH_GRACE + ROUND_INTERVAL < 5.0
+    assert SILENCE_LIMIT + REATTACH_GRACE_SECONDS + ROUND_INTERVAL < 5.0
     holder = follow([control], Role.ENTRY, "e1")
     link = await dial(control.links, Hello(Role.AGENT, HostId("a1")), CLOCK)
     link.send(make_registration("n1").ask)
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -127,7 +127,7 @@
     def review(self) -> None:
         pass
 
-    def note_replicas(self) -> None:
+    def record_replicas(self) -> None:
         pass
 
     def list_attached(self) -> set:
--- a/tests/raft_fakes.py
+++ b/tests/raft_fakes.py
@@ -8,7 +8,7 @@
 import random
 from dataclasses import dataclass, field
 
-from ibishead.control.consensus import Consensus, Stored
+from ibishead.control.consensus import Consensus, PersistentState
 from ibishead.control.peers import (
     Configuration,
     Entry,
@@ -37,7 +37,7 @@
 class FakeDisk:
     """A disk that keeps synced writes and may lose unsynced ones in a crash."""
 
-    def __init__(self, stored: Stored) -> None:
+    def __init__(self, stored: PersistentState) -> None:
         self.stored = stored
         self.unsynced: list[Write] = []
 
@@ -53,7 +53,7 @@
             self.stored = self._applied(write)
         self.unsynced.clear()
 
-    def _applied(self, write: Write) -> Stored:
+    def _applied(self, write: Write) -> PersistentState:
         snapshot = write.snapshot or self.stored.snapshot
         entries = () if write.reset else self.stored.entries
         if write.entries:
@@ -61,7 +61,7 @@
             preceding = tuple(entry for entry in entries if entry.index < first)
             entries = preceding + write.entries
         after = tuple(entry for entry in entries if entry.index > snapshot.index)
-        return Stored(write.term, write.vote, snapshot, after)
+        return PersistentState(write.term, write.vote, snapshot, after)
 
 
 @dataclass
@@ -113,7 +113,7 @@
         names = tuple(ReplicaId(chr(ord("a") + i)) for i in range(count))
         founding = Snapshot(LogIndex(0), Term(0), Configuration(names))
         for name in names:
-            self._start(name, FakeDisk(Stored(snapshot=founding)))
+            self._start(name, FakeDisk(PersistentState(snapshot=founding)))
 
     # Events ------------------------------------------------------------------
 
@@ -199,7 +199,7 @@
         """Start a replica with an empty data folder."""
         self._number += 1
         name = ReplicaId(f"{host}.{self._number}")
-        self._start(name, FakeDisk(Stored()))
+        self._start(name, FakeDisk(PersistentState()))
         return name
 
     def freeze(self, name: ReplicaId, frozen: bool) -> None:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -5,7 +5,7 @@
 from tests.raft_fakes import TIMING, Replicas
 
 from ibishead.control import configuration as changes
-from ibishead.control.consensus import Consensus, Stored
+from ibishead.control.consensus import Consensus, PersistentState
 from ibishead.control.peers import (
     Append,
     AppendAnswer,
@@ -36,13 +36,13 @@
     return replicas, leader, [name for name in replicas.nodes if name != leader]
 
 
-def make_core(stored: Stored, replica: ReplicaId = A) -> Consensus:
+def make_core(stored: PersistentState, replica: ReplicaId = A) -> Consensus:
     core = Consensus(replica, stored, TIMING, lambda bound: 0)
     core.take_outputs()
     return core
 
 
-def make_leader_core(stored: Stored) -> Consensus:
+def make_leader_core(stored: PersistentState) -> Consensus:
     """Return replica a of three as a new leader, with its own writes synced."""
     core = make_core(stored)
     for _ in range(TIMING.election):
@@ -113,7 +113,7 @@
 
     The other voter still counts the lost leader as live, one tick longer.
     """
-    core = make_core(Stored(snapshot=FOUNDING))
+    core = make_core(PersistentState(snapshot=FOUNDING))
     requests = []
     for tick in range(2 * TIMING.election):
         core.tick()
@@ -122,7 +122,9 @@
     assert len(set(requests)) > 2
 
 
-EARLY = Timing(heartbeat=1, election=9, first=3, retain=2, append_bytes=40, window=6)
+EARLY = Timing(
+    heartbeat=1, election=9, first_election=3, retain=2, append_bytes=40, window=6
+)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -157,9 +159,9 @@
     for name in replicas.nodes:
         replicas.restart(name)
         replicas.isolate(name)
-    replicas.run(2 * EARLY.first)
+    replicas.run(2 * EARLY.first_election)
     replicas.heal()
-    replicas.run(2 * EARLY.first + EARLY.election // 2)
+    replicas.run(2 * EARLY.first_election + EARLY.election // 2)
     assert replicas.leader() is not None
 
 
@@ -172,7 +174,7 @@
     for name in replicas.nodes:
         replicas.restart(name)
     replicas.campaign_early(next(iter(replicas.nodes)))
-    replicas.run(EARLY.first - 1)
+    replicas.run(EARLY.first_election - 1)
     assert replicas.leader() is not None
 
 
@@ -244,7 +246,7 @@
     A voter answers, loses power before the sync, restarts and votes for another
     candidate.
     """
-    core = make_core(Stored(snapshot=FOUNDING))
+    core = make_core(PersistentState(snapshot=FOUNDING))
     core.step(B, RequestVote(Term(1), LogIndex(0), Term(0)))
     outputs = core.take_outputs()
     writes = [output for output in outputs if isinstance(output, Write)]
@@ -252,7 +254,7 @@
     assert not [output for output in outputs if isinstance(output, Send)]
     core.synced(writes[0].token)
     assert sent(core, VoteAnswer) == [VoteAnswer(Term(1), True)]
-    restarted = make_core(Stored(Term(1), B, FOUNDING))
+    restarted = make_core(PersistentState(Term(1), B, FOUNDING))
     restarted.step(C, RequestVote(Term(1), LogIndex(0), Term(0)))
     assert sent(restarted, VoteAnswer) == [VoteAnswer(Term(1), False)]
 
@@ -266,7 +268,9 @@
     last_index: int, last_term: int, granted: bool, pre: bool
 ) -> None:
     """Guards against a leader that lacks committed entries and would undo them."""
-    core = make_core(Stored(Term(2), None, FOUNDING, (entry(1, 1), entry(2, 2))))
+    core = make_core(
+        PersistentState(Term(2), None, FOUNDING, (entry(1, 1), entry(2, 2)))
+    )
     request = RequestVote(Term(4), LogIndex(last_index), Term(last_term), pre)
     core.step(B, request)
     outputs = core.take_outputs()
@@ -280,7 +284,7 @@
 
     The follower loses power before the entry is durable.
     """
-    core = make_core(Stored(snapshot=FOUNDING))
+    core = make_core(PersistentState(snapshot=FOUNDING))
     message = Append(
         Term(1), LogIndex(0), Term(0), (entry(1, 1),), LogIndex(0), 0, sent_tick=3
     )
@@ -293,7 +297,7 @@
 
 def test_delayed_entries_of_a_former_leader_are_refused() -> None:
     """Guards against a delayed message that overwrites a newer leader's entry."""
-    core = make_core(Stored(Term(2), None, FOUNDING, (entry(1, 2, b"new"),)))
+    core = make_core(PersistentState(Term(2), None, FOUNDING, (entry(1, 2, b"new"),)))
     core.step(
         B,
         Append(
@@ -330,7 +334,9 @@
 
     An entry of an older term can be on a quorum and still be overwritten.
     """
-    core = make_leader_core(Stored(Term(3), A, FOUNDING, (entry(1, 1), entry(2, 2))))
+    core = make_leader_core(
+        PersistentState(Term(3), A, FOUNDING, (entry(1, 1), entry(2, 2)))
+    )
     core.step(B, AppendAnswer(Term(4), True, LogIndex(2), 0, 0, 0))
     assert core.commit == 0
     core.step(B, AppendAnswer(Term(4), True, LogIndex(3), 0, 0, 0))
@@ -365,7 +371,7 @@
     The former leader crashed right after it, and its successor doesn't know the commit
     index yet.
     """
-    core = make_leader_core(Stored(Term(1), None, FOUNDING, (entry(1, 1),)))
+    core = make_leader_core(PersistentState(Term(1), None, FOUNDING, (entry(1, 1),)))
     core.read(7)
     core.step(B, AppendAnswer(Term(2), True, LogIndex(1), 9, 0, 0))
     assert not [o for o in core.take_outputs() if isinstance(o, ReadReady)]
@@ -480,7 +486,7 @@
 
     A partitioned leader has started one, and its successor starts another.
     """
-    core = make_leader_core(Stored(Term(1), A, FOUNDING))
+    core = make_leader_core(PersistentState(Term(1), A, FOUNDING))
     with pytest.raises(Unavailable, match="lead yet"):
         core.propose_configuration(changes.remove(ABC, C))
 
@@ -553,7 +559,7 @@
 
     A former leader returns with entries that were never committed.
     """
-    stored = Stored(
+    stored = PersistentState(
         Term(2), None, FOUNDING, tuple(entry(i, 2) for i in range(1, behind))
     )
     core = make_core(stored)
@@ -597,14 +603,14 @@
 
     A heartbeat announces commits whose entries the follower hasn't received yet.
     """
-    core = make_core(Stored(snapshot=FOUNDING))
+    core = make_core(PersistentState(snapshot=FOUNDING))
     heartbeat = Append(
         Term(1), LogIndex(0), Term(0), (), LogIndex(0), 0, sent_tick=1, echo_tick=0
     )
     core.step(B, heartbeat)
     assert core.lease() > 0
     behind = msgspec.structs.replace(heartbeat, commit=LogIndex(7))
-    other = make_core(Stored(snapshot=FOUNDING))
+    other = make_core(PersistentState(snapshot=FOUNDING))
     other.step(B, behind)
     assert other.lease() == 0
 
--- a/tests/test_consensus_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -25,7 +25,7 @@
     def __init__(self, count: int, seed: int, weights: dict[str, int]) -> None:
         self.random = random.Random(seed)
         # odd seeds use a shorter timeout for the first election after startup
-        early_election = replace(TIMING, first=2)
+        early_election = replace(TIMING, first_election=2)
         self.replicas = Replicas(count, seed, early_election if seed % 2 else TIMING)
         self.weights = weights
 
@@ -231,7 +231,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.replicas = Replicas(3, timing=replace(TIMING, first=2))
+        self.replicas = Replicas(3, timing=replace(TIMING, first_election=2))
         self.replicas.run(12)
 
     def name(self, number: int) -> ReplicaId:
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from ibishead.control.consensus import Consensus, Stored
+from ibishead.control.consensus import Consensus, PersistentState
 from ibishead.control.peers import Configuration, Snapshot
 from ibishead.control.raftstate import Role, Send, Timing, Write
 from ibishead.ids import LogIndex, ReplicaId, Term
 
 #: Duration of a tick in seconds, and the timing of a registry's log.
 TICK_SECONDS = 0.1
-TIMING = Timing(heartbeat=2, election=9, first=3)
+TIMING = Timing(heartbeat=2, election=9, first_election=3)
 
 #: Maximum phase difference in seconds between the ticks of voters founded together.
 SKEW_SECONDS = 0.002
@@ -39,7 +39,7 @@
         founding = Snapshot(LogIndex(0), Term(0), Configuration(names))
         self.nodes = {
             name: Consensus(
-                name, Stored(snapshot=founding), TIMING, self.draw.randrange
+                name, PersistentState(snapshot=founding), TIMING, self.draw.randrange
             )
             for name in names
         }
