--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -76,11 +76,11 @@
     Guard(
         "runs without answers leave their places in the batch",
         "agent/scheduler.py",
-        "return stopped or overdue or attempt",
-        "return stopped or attempt",
+        "return stream_idle or overdue or attempt",
+        "return stream_idle or attempt",
         (
             "tests/proofs/test_lost_answers.py"
-            "::test_runs_without_answers_leave_their_places_in_the_batch",
+            "::test_runs_without_answers_release_their_batch_places",
         ),
     ),
     Guard(
@@ -149,31 +149,31 @@
     Guard(
         "a request that nobody waits for is reset",
         "gateway/connection.py",
-        "            if self._asking:\n                reset",
+        "            if self._in_exchange:\n                reset",
         "            if False:\n                reset",
         (
             "tests/gateway/test_connection.py"
-            "::test_a_target_sees_that_nobody_waits_for_a_request_any_more",
+            "::test_an_abandoned_request_resets_the_connection",
         ),
     ),
     Guard(
         "a host that stands still is passed over",
-        "gateway/book.py",
-        "            or (mute and not self.is_alive(notes, now)),\n",
-        "            or False,\n",
+        "gateway/tracker.py",
+        "(steward_unresponsive and not self.is_responsive(stats, now)),\n",
+        "False,\n",
         (
-            "tests/gateway/test_book.py"
-            "::test_an_engine_whose_steward_is_mute_counts_while_it_brings_events",
+            "tests/gateway/test_tracker.py"
+            "::test_an_engine_with_an_unresponsive_steward_counts_while_it_sends_data",
         ),
     ),
     Guard(
         "nothing is sent to a host that stands still",
         "gateway/choosing.py",
-        "adapter.resident and self._seems_well(target)",
-        "adapter.resident",
+        "and adapter.resident\n            and self._is_engine_responsive(target)",
+        "and adapter.resident",
         (
             "tests/gateway/test_pipeline.py"
-            "::test_who_finds_only_a_host_that_stands_still_is_refused_at_once",
+            "::test_a_request_is_refused_if_the_only_host_is_frozen",
         ),
     ),
     Guard(
@@ -189,7 +189,7 @@
     Guard(
         "pinned slots stay",
         "agent/slots.py",
-        "if slot.pins or slot.lingering:",
+        "if slot.pins or slot.orphaned_pins:",
         "if False:",
         (f"{SLOTS}::test_pinned_adapter_is_not_evicted",),
     ),
@@ -198,21 +198,21 @@
         "agent/slots.py",
         "        if not ended:\n",
         "        if False:\n",
-        (f"{SLOTS}::test_caller_that_left_doesnt_free_the_adapter",),
+        (f"{SLOTS}::test_disconnected_caller_doesnt_release_the_adapter",),
     ),
     Guard(
         "one sample doesn't end a lingering pin",
         "agent/slots.py",
-        "CLEAR_SAMPLES = 2",
-        "CLEAR_SAMPLES = 1",
-        (f"{SLOTS}::test_caller_that_left_doesnt_free_the_adapter",),
+        "RELEASE_SAMPLES = 2",
+        "RELEASE_SAMPLES = 1",
+        (f"{SLOTS}::test_disconnected_caller_doesnt_release_the_adapter",),
     ),
     Guard(
         "a restarted agent pins what it finds",
         "agent/slots.py",
-        "_Slot(SlotState.RESIDENT, lingering=1, last_used=now)",
+        "_Slot(SlotState.RESIDENT, orphaned_pins=1, last_used=now)",
         "_Slot(SlotState.RESIDENT, last_used=now)",
-        (f"{SLOTS}::test_restarted_agent_pins_what_the_engine_holds",),
+        (f"{SLOTS}::test_restarted_agent_pins_resident_adapters",),
     ),
     Guard(
         "a load of a former boot counts for nothing",
@@ -221,26 +221,26 @@
         "            return\n        if loaded:",
         "slot = self._slots.setdefault(key, _Slot(SlotState.LOADING))\n"
         "        if loaded:",
-        (f"{SLOTS}::test_engine_that_restarted_voids_the_table",),
+        (f"{SLOTS}::test_load_of_an_earlier_boot_is_ignored",),
     ),
     Guard(
         "an answer names the adapter that was asked for",
         "agent/runner.py",
-        "if answer.status == 200 and not _names_adapter(attempt, payload):",
+        "if answer.status == 200 and not _matches_adapter(attempt, payload):",
         "if False:",
-        ("tests/agent/test_runner.py::test_answer_of_another_model_is_held_back",),
+        ("tests/agent/test_runner.py::test_answer_of_another_model_is_not_delivered",),
     ),
     Guard(
         "an attempt that was given up never runs",
         "agent/gate.py",
-        "if taken is False:",
+        "if admitted is False:",
         "if False:",
-        (f"{GATE}::test_buried_attempt_never_runs",),
+        (f"{GATE}::test_attempt_with_a_tombstone_never_runs",),
     ),
     Guard(
         "a repeated dispatch is not run again",
         "agent/gate.py",
-        "        if taken:\n",
+        "        if admitted:\n",
         "        if False:\n",
         (f"{GATE}::test_attempt_runs_once_however_often_it_is_dispatched",),
     ),
@@ -264,22 +264,22 @@
         "if document is not None and dispatch.revision < document.revision:",
         "if False and document is not None:",
         (
-            f"{GATE}::test_stale_entry_is_handed_the_newer_document",
+            f"{GATE}::test_stale_entry_gets_the_newer_document",
             f"{PROMISES}::test_change_reaches_every_host_and_holds",
         ),
     ),
     Guard(
         "no lease on either side, no run",
         "agent/gate.py",
-        "if unsure and state.unconfirmed is Unconfirmed.REFUSE:",
+        "if unconfirmed_run and state.unconfirmed is Unconfirmed.REFUSE:",
         "if False:",
         (f"{GATE}::test_gate_decides",),
     ),
     Guard(
         "a new agent proves nothing",
         "agent/reception.py",
-        "elif self._own(resume.incarnation) and self._gate.bury(key):",
-        "elif self._gate.bury(key):",
+        "elif self._is_own(resume.incarnation) and self._gate.add_tombstone(key):",
+        "elif self._gate.add_tombstone(key):",
         (f"{PROMISES}::test_new_agent_doesnt_vouch_for_the_one_before",),
     ),
     Guard(
@@ -342,7 +342,7 @@
     Guard(
         "a planned stop finishes what runs",
         "agent/scheduler.py",
-        "while self._list_open() or self._owes_frames():",
+        "while self._list_unfinished() or self._has_undelivered_frames():",
         "while False:",
         (f"{PROMISES}::test_leaving_target_gets_no_new_work_and_cuts_nothing",),
     ),
--- a/src/ibishead/agent/watcher.py
+++ b/src/ibishead/agent/watcher.py
@@ -1,4 +1,4 @@
-"""Watches the target: whether it answers, in which boot, and what it holds."""
+"""Probes of the target: whether it responds, its boot and its resident adapters."""
 
 import asyncio
 import logging
@@ -14,21 +14,21 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between looks at a healthy target with nothing in doubt.
-QUIET_INTERVAL = 0.5
+#: Seconds between probes while the target is healthy and its state is known.
+HEALTHY_PROBE_INTERVAL_SECONDS = 0.5
 
-#: Seconds between looks while something is in doubt.
-BUSY_INTERVAL = 0.1
+#: Seconds between probes while the target is unhealthy or its state uncertain.
+FAST_PROBE_INTERVAL_SECONDS = 0.1
 
 
 class TargetWatcher:
-    """Looks at the target again and again.
+    """Probes the target periodically.
 
-    :param is_engine: it shows its boot and its adapters.
+    :param is_engine: the target reports its boot and its adapters.
     :param changed: called when the target's health has changed.
-    :param review_runs: called at each look with the adapters that are at work, none of
-        a plain service.
-    :ivar healthy: it answered the last look.
+    :param check_runs: called after each probe with the adapters that have requests in
+        the engine, an empty set for a plain service.
+    :ivar healthy: the target responded to the last probe.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         is_engine: bool,
         clock: Clock,
         changed: Callable[[], None],
-        review_runs: Callable[[frozenset[AdapterKey]], None],
+        check_runs: Callable[[frozenset[AdapterKey]], None],
     ) -> None:
         self.healthy = False
         self._client = client
@@ -48,46 +48,54 @@
         self._is_engine = is_engine
         self._clock = clock
         self._changed = changed
-        self._review_runs = review_runs
-        self._seen = clock.monotonic()
+        self._check_runs = check_runs
+        self._last_seen = clock.monotonic()
 
-    async def watch_for_ever(self) -> None:
-        """Keep `healthy` and the slot table true to what the target shows."""
+    async def watch(self) -> None:
+        """Update `healthy` and the slot table from periodic probes, until cancelled."""
         while True:
             try:
-                await self._look()
-                self._seen = self._clock.monotonic()
+                await self._probe()
+                self._last_seen = self._clock.monotonic()
                 self._set_health(True)
             except LinkLost as error:
-                logger.debug("target not seen", extra={"reason": error.message})
+                logger.debug("target probe failed", extra={"reason": error.message})
                 self._set_health(False)
-            doubt = self._slots.lingers or self._loader.doubtful or not self.healthy
-            await asyncio.sleep(BUSY_INTERVAL if doubt else QUIET_INTERVAL)
+            uncertain = (
+                self._slots.has_orphaned_pins
+                or self._loader.needs_reconciling
+                or not self.healthy
+            )
+            await asyncio.sleep(
+                FAST_PROBE_INTERVAL_SECONDS
+                if uncertain
+                else HEALTHY_PROBE_INTERVAL_SECONDS
+            )
 
-    def suspect(self) -> None:
-        """Take the target for unhealthy until it is seen again."""
+    def mark_unhealthy(self) -> None:
+        """Treat the target as unhealthy until a probe succeeds."""
         self._set_health(False)
 
-    def measure_absence(self) -> float:
-        """Return the seconds since the target was last seen, 0 while it is healthy."""
-        return 0.0 if self.healthy else self._clock.monotonic() - self._seen
+    def measure_downtime(self) -> float:
+        """Return the seconds since the last successful probe, 0 while healthy."""
+        return 0.0 if self.healthy else self._clock.monotonic() - self._last_seen
 
-    async def _look(self) -> None:
+    async def _probe(self) -> None:
         if not self._is_engine:
             await self._client.check_reachable()
-            self._review_runs(frozenset())
+            self._check_runs(frozenset())
             return
         sample = await self._client.sample()
         if sample.boot != self._slots.boot:
             resident = await self._client.list_adapters(sample.boot)
             extra = {"boot": sample.boot, "resident": len(resident)}
-            logger.info("engine booted", extra=extra)
+            logger.info("new engine boot detected", extra=extra)
             self._slots.begin_boot(sample.boot, resident, self._clock.monotonic())
             return
         self._slots.observe_running(sample.busy)
-        self._review_runs(sample.busy)
-        if self._loader.doubtful:
-            self._loader.doubtful = False
+        self._check_runs(sample.busy)
+        if self._loader.needs_reconciling:
+            self._loader.needs_reconciling = False
             resident = await self._client.list_adapters(sample.boot)
             self._slots.reconcile(resident, self._clock.monotonic())
 
