--- a/src/ibishead/control/peering.py
+++ b/src/ibishead/control/peering.py
@@ -67,7 +67,8 @@
 class Forward(_Message, frozen=True):
     """Asks the leader to propose a command.
 
-    :param number: identifies the request in its answer, here and in all requests.
+    :param number: identifies the request and is repeated in its answer, as in all
+        requests to the leader.
     """
 
     number: int
--- a/src/ibishead/control/repair.py
+++ b/src/ibishead/control/repair.py
@@ -115,11 +115,12 @@
             )
 
     def is_due(self) -> bool:
-        """Return whether a voter is lost and a repair can start now.
+        """Return whether a voter is lost and its replacement can start now.
 
-        A lost voter alone does no harm, but the next loss would block all changes. By
-        default, a voter counts as lost only after minutes of silence, as a restart or a
-        short network interruption doesn't justify copying the whole log.
+        That takes an available new replica and no other repair in progress. A lost
+        voter alone does no harm, but the next loss would block all changes. By default,
+        a voter counts as lost only after minutes of silence, as a restart or a short
+        network interruption doesn't justify copying the whole log.
         """
         now = self._replica.clock.monotonic()
         return (
@@ -173,7 +174,9 @@
             return
         self._running = True
         lost, host = plan
-        logger.warning("replica %s is lost, replacing it by that on %s", lost, host)
+        logger.warning(
+            "replica %s is lost, replacing it by the new one on %s", lost, host
+        )
         try:
             await replace(self._replica, lost, host)
         except IbisheadError as error:
