--- a/src/ibishead/control/__init__.py
+++ b/src/ibishead/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control program: replicated documents, claims and incarnations."""
+"""Control program: replicated service documents, claims and target incarnations."""
--- a/src/ibishead/control/__main__.py
+++ b/src/ibishead/control/__main__.py
@@ -1,4 +1,4 @@
-"""Run with ``python -m ibishead.control``."""
+"""Entry point of ``python -m ibishead.control``."""
 
 from ibishead.control.main import main
 
--- a/src/ibishead/control/assembly.py
+++ b/src/ibishead/control/assembly.py
@@ -1,4 +1,4 @@
-"""Puts a replica together from a control program's settings."""
+"""Construction of a control replica from the settings."""
 
 import secrets
 from collections.abc import Callable, Mapping
@@ -19,8 +19,8 @@
 
 __all__ = ["open_replica"]
 
-#: Bytes of randomness in the name of a new replica or cluster.
-_NAME_BYTES = 6
+#: Random bytes in the generated name of a new replica or cluster.
+_RANDOM_NAME_BYTES = 6
 
 
 def open_replica(
@@ -30,12 +30,14 @@
     on_failure: Callable[[StorageFault], None],
     pace: Pace | None = None,
 ) -> LogReplica:
-    """Return a replica on the settings' data folder; `LogReplica.start` begins.
+    """Open the data folder of the settings and return a replica on it, not started.
 
-    Its link server must give it every `PeerFrame` by `LogReplica.take_frame`.
+    The caller starts it with `LogReplica.start` and passes it every `PeerFrame` that
+    arrives at its link server, by `LogReplica.take_frame`.
 
-    :param on_failure: called when the disk has failed; the program should then end.
-    :raises StorageFault: the folder is in use, damaged or of another replica.
+    :param pace: the intervals of the replica; by default those of the settings.
+    :param on_failure: called when the disk has failed; the program should then exit.
+    :raises StorageFault: the folder is in use, damaged, or belongs to another replica.
     """
     own = HostId(settings.replica)
     peer = settings.peer_tls
@@ -47,14 +49,14 @@
             machine,
             folder,
             PeerLinks(
-                _list_others(own, {**settings.peers, **settings.spares}),
+                _list_peers(own, {**settings.peers, **settings.spares}),
                 Hello(Role.CONTROL, settings.host),
                 clock,
                 make_client_context(peer) if peer is not None else None,
             ),
             clock,
             secrets.randbelow,
-            lambda: secrets.token_hex(_NAME_BYTES),
+            lambda: secrets.token_hex(_RANDOM_NAME_BYTES),
             pace or Pace(repair=settings.repair_after.total_seconds()),
             on_failure,
         )
@@ -63,7 +65,7 @@
         raise
 
 
-def _list_others(
+def _list_peers(
     own: HostId, endpoints: Mapping[ReplicaId, Endpoint]
 ) -> dict[HostId, Endpoint]:
     return {
--- a/src/ibishead/control/commands.py
+++ b/src/ibishead/control/commands.py
@@ -1,8 +1,8 @@
 """Commands of the replicated log and their results, as typed messages.
 
-A command holds all that its application depends on, so that every replica comes to
-the same result. All of them are idempotent: a proposer that lost the answer sends
-the same command again.
+A command carries everything that its application depends on, so that every replica
+computes the same result. Commands are idempotent: a proposer that lost the result
+sends the same command again.
 """
 
 from typing import TypeAlias
@@ -49,15 +49,15 @@
 
 
 class _Record(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of commands and results: immutable, compared by value."""
+    """Base of commands and results; instances are immutable and compare by value."""
 
 
 class SubmitDocument(_Record, frozen=True):
-    """Makes a text the next revision of a service's document.
+    """Submits a text as the next revision of a service's document.
 
     :param base: the revision that the operator edited; 0 for a new service.
-    :param operator: who submitted, for the history.
-    :param now: POSIX seconds by the proposer's clock.
+    :param operator: name of the submitting operator, for the history.
+    :param now: time of submission in POSIX seconds by the proposer's clock.
     """
 
     service: ServiceName
@@ -70,7 +70,7 @@
 
 
 class RegisterTarget(_Record, frozen=True):
-    """Gives one life of an agent its incarnation and attaches it to a replica."""
+    """Assigns an incarnation to an agent process and attaches it to a replica."""
 
     ask: AskRegistration
     replica: ReplicaId
@@ -85,7 +85,10 @@
 
 
 class RetireTarget(_Record, frozen=True):
-    """Ends an incarnation unless its agent has attached anew in the meantime."""
+    """Ends an incarnation unless its agent has attached again in the meantime.
+
+    :param attachment: the attachment that was found without a link.
+    """
 
     target: TargetId
     incarnation: Incarnation
@@ -93,28 +96,29 @@
 
 
 class DrainTarget(_Record, frozen=True):
-    """Marks a target's present incarnation as leaving."""
+    """Marks the current incarnation of a target as draining."""
 
     target: TargetId
 
 
 class ClaimRequest(_Record, frozen=True):
-    """Asks for the right to run a non-idempotent request once."""
+    """Requests the right to run a non-idempotent request once."""
 
     ask: AskClaim
 
 
 class SettleClaim(_Record, frozen=True):
-    """Records how the attempt under a claim ended."""
+    """Records the outcome of the attempt under a claim."""
 
     resolve: ResolveClaim
 
 
 class AdvanceTime(_Record, frozen=True):
-    """Moves the time by which claims are retained.
+    """Advances the replicated time that claim retention is measured in.
 
-    :param since: the time that the step starts from; at another one it is void.
-    :param seconds: how far, as the leader has measured.
+    :param since: the time in seconds that the step starts from; the step has no
+        effect when the replicated time differs from it.
+    :param seconds: length of the step, as measured by the leader.
     """
 
     since: float
@@ -122,10 +126,11 @@
 
 
 class AnnounceReplica(_Record, frozen=True):
-    """Tells the other replicas where this one serves links.
+    """Publishes the endpoint at which a replica serves links.
 
-    :param host: its name in the settings.
-    :param port: of the link server at ``address``.
+    :param host: the replica's host name in the settings.
+    :param address: IP address of the link server.
+    :param port: TCP port of the link server.
     """
 
     replica: ReplicaId
@@ -148,9 +153,10 @@
 
 
 class Accepted(_Record, frozen=True):
-    """The submission became a revision.
+    """The submission was accepted as a revision.
 
-    :param index: of the log; the revision is in force once all holders are there.
+    :param index: log index of the change; the revision is in force once every holder
+        of documents has applied this index.
     """
 
     service: ServiceName
@@ -162,7 +168,10 @@
 class StaleBase(_Record, frozen=True):
     """The submission's base was not the newest revision.
 
-    :param revision: the newest one, with who made it and when (POSIX seconds).
+    :param revision: the newest revision.
+    :param submission: the submission that made it.
+    :param operator: the operator who submitted it.
+    :param accepted_at: when it was accepted, in POSIX seconds.
     """
 
     service: ServiceName
@@ -173,7 +182,10 @@
 
 
 class Registered(_Record, frozen=True):
-    """The incarnation, and the number of the attachment that began now."""
+    """The target is registered or attached.
+
+    :param attachment: log index at which the current attachment began.
+    """
 
     incarnation: Incarnation
     attachment: LogIndex
@@ -186,7 +198,7 @@
 
 
 class Rejected(_Record, frozen=True):
-    """The command changed nothing."""
+    """The command was refused and changed nothing."""
 
     code: ErrorCode
     message: str
@@ -197,7 +209,7 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the command as a log entry."""
+    """Return the command as the data of a log entry."""
     return encode([command])
 
 
@@ -211,12 +223,12 @@
 
 
 def encode_result(result: Result) -> bytes:
-    """Return a result as the log hands it back."""
+    """Return a result as the bytes that `StateMachine.apply` returns."""
     return encode([result])
 
 
 def decode_result(data: bytes) -> Result:
-    """Return the result that the log handed back.
+    """Return the result that `Replica.propose` returned as bytes.
 
     :raises InvalidInput: the data holds no known result.
     """
--- a/src/ibishead/control/configuration.py
+++ b/src/ibishead/control/configuration.py
@@ -11,50 +11,52 @@
 
 
 def add_learner(configuration: Configuration, replica: ReplicaId) -> Configuration:
-    """Return the set with one more learner."""
+    """Return the set with a replica added as learner, unless it is a voter."""
     learners = {*configuration.learners, replica}.difference(configuration.voters)
     return Configuration(configuration.voters, tuple(sorted(learners)))
 
 
 def promote(configuration: Configuration, replica: ReplicaId) -> Configuration:
-    """Return the set with a learner turned voter."""
+    """Return the set with a learner promoted to voter."""
     voters = {*configuration.voters, replica}
     learners = set(configuration.learners).difference(voters)
     return Configuration(tuple(sorted(voters)), tuple(sorted(learners)))
 
 
 def remove(configuration: Configuration, replica: ReplicaId) -> Configuration:
-    """Return the set without a replica."""
+    """Return the set without a replica, voter or learner."""
     voters = [voter for voter in configuration.voters if voter != replica]
     learners = [learner for learner in configuration.learners if learner != replica]
     return Configuration(tuple(voters), tuple(learners))
 
 
 def append_configuration(state: RaftState, wanted: Configuration) -> LogIndex:
-    """Start a change of the replica set on the leader; it holds from here on.
+    """Start a change of the replica set on the leader.
+
+    The new set is effective as soon as it is in the log, before it is committed.
 
     :returns: the index at which the change will be committed.
-    :raises Conflict: another change is under way, or the change isn't allowed.
-    :raises Unavailable: this replica doesn't lead or can't tell what is committed, or
-        the new voter isn't caught up yet.
+    :raises Conflict: another change is in progress, or the change isn't allowed.
+    :raises Unavailable: this replica isn't the leader or doesn't know yet what is
+        committed, or the new voter hasn't caught up yet.
     """
     if state.role is not Role.LEADER or state.commit < state.own_term_index:
         raise Unavailable(
-            "this replica doesn't lead yet",
-            "send the change to the leader",
+            "this replica is not the leader, or not yet sure what is committed",
+            "send the change to the leader, or send it again",
             code=ErrorCode.NOT_LEADER,
         )
-    # two changes at once could have quorums without a common replica
+    # Two concurrent changes could have quorums without a common replica
     if state.log.configuration_index > state.commit:
         raise Conflict(
-            "another change of the replica set is under way",
-            "wait until it has ended, then ask again",
+            "another change of the replica set is in progress",
+            "wait until it has ended, then send the change again",
         )
     current = state.configuration
     changed = set(current.voters).symmetric_difference(wanted.voters)
     if len(changed) > 1:
         raise Conflict(
-            "a change may concern one voter only", "split it into several changes"
+            "a change may add or remove one voter only", "split it into several changes"
         )
     if state.replica not in wanted.voters:
         raise Conflict(
@@ -67,22 +69,28 @@
 
 
 def is_caught_up(state: RaftState, replica: ReplicaId) -> bool:
-    """Return whether a learner holds all that is committed, as of a moment ago."""
+    """Return whether a learner holds all committed entries, by its recent report.
+
+    A report is recent for the length of one election time-out.
+    """
     progress = state.progress.get(replica)
     if progress is None or progress.contact < 0:
         return False
-    fresh = state.now - progress.contact < state.timing.election
-    return fresh and progress.match >= state.commit
+    recent = state.now - progress.contact < state.timing.election
+    return recent and progress.match >= state.commit
 
 
 def _check_caught_up(state: RaftState, replica: ReplicaId) -> None:
-    """Refuse a voter that would count for the quorum without holding the log.
+    """Refuse a new voter that doesn't hold the log yet.
+
+    It would count for the quorum at once, so that nothing could be committed until
+    it had caught up if one more host were lost.
 
-    Until it had caught up, nothing could be committed if one more host were lost.
+    :raises Unavailable: the replica has not caught up.
     """
     if not is_caught_up(state, replica):
         raise Unavailable(
             f"replica {replica} has not caught up with the log",
-            "wait until it has, then ask again",
+            "wait until it has, then send the change again",
             code=ErrorCode.NO_QUORUM,
         )
--- a/src/ibishead/control/machine.py
+++ b/src/ibishead/control/machine.py
@@ -1,4 +1,4 @@
-"""What the replicated log and the state that it carries ask of each other."""
+"""Interfaces between the replicated log and the state machine that it drives."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -11,10 +11,11 @@
 
 @dataclass(frozen=True)
 class ReplicaSet:
-    """Who holds the log.
+    """The members of the replica set.
 
     :param voters: replicas that count for the quorum.
-    :param learners: replicas that are still catching up.
+    :param learners: replicas that receive the log without a vote until they have
+        caught up.
     """
 
     voters: tuple[ReplicaId, ...]
@@ -22,90 +23,91 @@
 
 
 class StateMachine(Protocol):
-    """State that follows from the committed commands alone, on every replica."""
+    """Deterministic state: a function of the committed commands alone."""
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply one committed command and return its result.
 
-        The same commands in the same order give the same results everywhere. A bad
-        command is answered by a result that says so; nothing is raised.
+        The same commands in the same order give the same results on every replica.
+        An invalid command gives an error result; nothing is raised.
 
-        :param index: position in the log, rising, with gaps.
+        :param index: position in the log; it increases from call to call, with gaps.
         """
 
     def capture(self) -> bytes:
-        """Return the whole state, for a snapshot."""
+        """Return the complete state, for a snapshot."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by what `capture` returned on some replica."""
+        """Replace the complete state by one that `capture` returned on any replica."""
 
 
 class Replica(Protocol):
-    """One member of the replicated log, as the rest of the control program sees it."""
+    """A member of the replicated log, as the other parts of the program use it."""
 
     async def start(self) -> None:
-        """Begin to take part; this replica's link server must listen by now."""
+        """Join the replica set; this replica's link server must be listening."""
 
     def take_frame(self, frame: PeerFrame) -> None:
-        """Take in what another replica sent to this one's link server."""
+        """Handle a frame that another replica sent to this one's link server."""
 
     async def propose(self, command: bytes, *, applied: bool = True) -> bytes:
-        """Return the command's result, once committed.
+        """Propose a command and return its result once it is committed.
 
-        A follower forwards to the leader. After `LinkLost`, or `Unavailable` with
+        A follower forwards it to the leader. After `LinkLost`, or `Unavailable` with
         the code ``OUTCOME_UNKNOWN``, the command may still be applied; commands are
         idempotent, so it may be proposed again.
 
-        :param applied: wait until it is applied on this replica too, which takes for
-            as long as its disk is full or slow.
-        :raises Unavailable: code ``NO_QUORUM``, at once, with ``retry_after``, when
-            no leader with a quorum is known; the command was not taken.
+        :param applied: also wait until this replica has applied the command; while
+            its disk is full or slow, this wait lasts as long.
+        :raises Unavailable: code ``NO_QUORUM``, without delay and with
+            ``retry_after``, when no leader with a quorum is known; the command was
+            not accepted.
         """
 
     async def confirm_read(self) -> None:
-        """Return once the local state holds all that was accepted before the call.
+        """Wait until the local state includes all that was accepted before the call.
 
         :raises Unavailable: code ``NO_QUORUM``, with ``retry_after``.
         """
 
     def lease(self) -> float:
-        """Return the seconds for which this replica may vouch for its state.
+        """Return the remaining seconds of this replica's lease on its state.
 
-        It is 0 on a replica that has lost the leader, and on a leader that has lost
-        its quorum.
+        It is 0 on a replica that has lost contact with the leader, and on a leader
+        that has lost its quorum.
         """
 
     def leader(self) -> ReplicaId | None:
-        """Return the leader this replica follows, itself included."""
+        """Return the leader that this replica knows, which may be itself."""
 
     def expects_leader(self) -> bool:
-        """Return whether a leader is known or may be within the time of an election."""
+        """Return whether a leader is known or may be elected within one election."""
 
     def is_leader(self) -> bool:
-        """Return whether this replica leads and its quorum still answers."""
+        """Return whether this replica is the leader and its quorum still responds."""
 
     def replicas(self) -> ReplicaSet:
-        """Return the replica set in force."""
+        """Return the current replica set."""
 
     def count_reached(self) -> tuple[int, int]:
-        """Return how many voters a link leads to, itself included, and all voters."""
+        """Return the number of linked voters, itself included, and of all voters."""
 
     async def transfer(self) -> None:
-        """Hand the leadership to the replica that is furthest along.
+        """Transfer the leadership to the replica with the most complete log.
 
-        :raises Unavailable: no other replica took it in time.
+        :raises Unavailable: no other replica became leader in time.
         """
 
     async def change_replicas(self, lost: ReplicaId, host: HostId) -> ReplicaId:
         """Replace a replica by a new one on the host, and return the new one's id.
 
-        Returns when the new replica counts and the lost one is out of the set.
+        Returns when the new replica is a voter and the lost one has left the set.
 
-        :param lost: the replica to remove; an unknown one is no error.
+        :param lost: the replica to remove; an unknown one is not an error.
         :param host: a control host of the settings whose data folder is new.
         :raises Unavailable: no quorum, or the host can't be reached.
-        :raises Conflict: another change of the replica set is under way.
+        :raises Conflict: another change of the replica set is in progress.
         """
 
     async def stop(self) -> None:
-        """Hand over leadership where possible, close links and the data folder."""
+        """Transfer leadership if possible, then close the links and the data folder."""
--- a/src/ibishead/control/main.py
+++ b/src/ibishead/control/main.py
@@ -1,4 +1,4 @@
-"""The program ``ibishead-control``."""
+"""The program ``ibishead-control``: one control replica as a process."""
 
 import asyncio
 import logging
@@ -18,7 +18,7 @@
 
 
 async def run_control(settings: ControlSettings) -> None:
-    """Serve until a planned stop, or until the disk fails.
+    """Serve until a stop is requested or the disk fails.
 
     :raises StorageFault: the data folder is damaged, or its disk has failed.
     """
@@ -27,7 +27,7 @@
     stop = asyncio.create_task(wait_for_stop())
     await server.start()
     await asyncio.wait((stop, failure), return_when=asyncio.FIRST_COMPLETED)
-    logger.info("control stops")
+    logger.info("control replica is stopping")
     stop.cancel()
     await server.stop()
     if failure.done():
@@ -37,24 +37,25 @@
 def make_control(
     settings: ControlSettings, clock: Clock, failure: asyncio.Future[StorageFault]
 ) -> ControlServer:
-    """Return a control server on the replica in the settings' data folder.
+    """Return a control server for the replica in the data folder of the settings.
 
-    :param failure: gets the fault when the disk fails and nothing can go on.
+    :param failure: receives the fault when the disk fails and the replica can't
+        continue.
     :raises StorageFault: the data folder is damaged or in use.
     """
 
-    def note_failure(fault: StorageFault) -> None:
+    def report_failure(fault: StorageFault) -> None:
         if not failure.done():
             failure.set_result(fault)
 
     state = ControlState()
-    replica = open_replica(settings, state, clock, note_failure)
+    replica = open_replica(settings, state, clock, report_failure)
     return ControlServer(settings, replica.name, state, replica, clock)
 
 
 main = make_command(
     "control",
-    "Keep documents, targets and claims on a replicated log.",
+    "Serve documents, targets and claims from a replicated log.",
     load_control_settings,
     run_control,
 )
