--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -359,7 +359,7 @@
     Guard(
         "asks for permits reach the leader",
         "control/granting.py",
-        "if stays or leader is None or not self._forward(leader, ask):",
+        "if is_final or leader is None or not self._forward(leader, request):",
         "if True:",
         ("tests/control/test_group.py::test_permit_comes_through_a_follower",),
     ),
--- a/src/ibishead/control/server.py
+++ b/src/ibishead/control/server.py
@@ -8,7 +8,7 @@
 from ibishead.clock import Clock
 from ibishead.control.commands import AnnounceReplica
 from ibishead.control.force import ForceTracker
-from ibishead.control.granting import PermitDesk
+from ibishead.control.granting import PermitService
 from ibishead.control.machine import Replica
 from ibishead.control.operators import OperatorApi
 from ibishead.control.publish import Publisher
@@ -59,9 +59,9 @@
             settings.links.endpoint, settings.operators.endpoint
         )
         self._publisher = Publisher(state, replica.lease, clock)
-        self._desk = PermitDesk(state, replica, self._forward, clock)
+        self._permits = PermitService(state, replica, self._forward, clock)
         self._service = ControlService(
-            name, state, replica, self._publisher, self._desk, clock
+            name, state, replica, self._publisher, self._permits, clock
         )
         hello = Hello(Role.CONTROL, settings.host)
         peer = settings.peer_tls
@@ -90,7 +90,7 @@
             state,
             replica,
             self._service,
-            self._desk,
+            self._permits,
             self._relay,
             self._force,
             clock,
@@ -136,7 +136,7 @@
             self._rounds.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._rounds
-        self._desk.stop()
+        self._permits.stop()
         await self._relay.stop()
         await self._web.stop()
         await self._links.stop()
@@ -153,7 +153,7 @@
         return self._relay.send(replica, message)
 
     def _deliver(self, answer: PermitAnswer) -> None:
-        self._desk.deliver(answer)
+        self._permits.deliver(answer)
 
     def _schedule_publish(self) -> None:
         # All that is committed in one turn of the loop goes out as one delta
--- a/src/ibishead/control/service.py
+++ b/src/ibishead/control/service.py
@@ -21,7 +21,7 @@
     decode_result,
     encode_command,
 )
-from ibishead.control.granting import PermitDesk
+from ibishead.control.granting import PermitService
 from ibishead.control.machine import Replica
 from ibishead.control.publish import Publisher, Subscriber
 from ibishead.control.state import ControlState
@@ -97,14 +97,14 @@
         state: ControlState,
         replica: Replica,
         publisher: Publisher,
-        desk: PermitDesk,
+        permits: PermitService,
         clock: Clock,
     ) -> None:
         self._name = name
         self._state = state
         self._replica = replica
         self._publisher = publisher
-        self._desk = desk
+        self._permits = permits
         self._clock = clock
         self._sessions: set[_Session] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -177,9 +177,9 @@
             case PeerFrame() if session.link.peer.role is Role.CONTROL:
                 self._replica.take_frame(message)
             case AskPermit():
-                self._desk.ask(session.link, message)
+                self._permits.handle_request(session.link, message)
             case ReleasePermit():
-                self._desk.release(session.link, message)
+                self._permits.release(session.link, message)
             case AskHolders(index):
                 waiting = self._publisher.list_waiting(LogIndex(index))
                 session.link.send(Holders(index, self._state.applied, tuple(waiting)))
--- a/src/ibishead/control/upkeep.py
+++ b/src/ibishead/control/upkeep.py
@@ -12,7 +12,7 @@
     RetireTarget,
 )
 from ibishead.control.force import ForceTracker
-from ibishead.control.granting import PermitDesk
+from ibishead.control.granting import PermitService
 from ibishead.control.liveness import OrphanWatch
 from ibishead.control.machine import Replica
 from ibishead.control.membership import Member
@@ -49,7 +49,7 @@
         state: ControlState,
         replica: Replica,
         service: ControlService,
-        desk: PermitDesk,
+        permits: PermitService,
         relay: Relay,
         force: ForceTracker,
         clock: Clock,
@@ -58,7 +58,7 @@
         self._state = state
         self._replica = replica
         self._service = service
-        self._desk = desk
+        self._permits = permits
         self._relay = relay
         self._force = force
         self._clock = clock
@@ -94,7 +94,7 @@
             self._leased_at = now
             await self._service.drop_links()
             return
-        await self._desk.review()
+        await self._permits.update_leadership()
         await self._announce()
         await self._service.attach_again()
         for command in self._list_due(now):
--- a/tests/control/test_granting.py
+++ b/tests/control/test_granting.py
@@ -1,10 +1,10 @@
-"""Permits reach agents at any replica, from one leader at a time."""
+"""Permits reach agents at any replica and are granted by one leader at a time."""
 
 import pytest
 
 from ibishead.clock import ManualClock
-from ibishead.control.granting import PermitDesk
-from ibishead.control.permits import LIFETIME, TAKEOVER_PAUSE
+from ibishead.control.granting import PermitService
+from ibishead.control.permits import PERMIT_SECONDS, TAKEOVER_PAUSE_SECONDS
 from ibishead.errors import ErrorCode
 from ibishead.ids import Incarnation, ReplicaId, TargetId
 from ibishead.messages import AskPermit, PermitAnswer, Refusal, ReleasePermit, Role
@@ -12,16 +12,16 @@
 from .support import FakeLink, FakeReplica, Log, make_registration
 
 
-def make_ask(number: int, incarnation: int = 1) -> AskPermit:
+def make_request(number: int, incarnation: int = 1) -> AskPermit:
     return AskPermit(TargetId("t1"), Incarnation(incarnation), number, 1.0)
 
 
 def make_grant(number: int) -> PermitAnswer:
-    return PermitAnswer(TargetId("t1"), Incarnation(1), number, LIFETIME)
+    return PermitAnswer(TargetId("t1"), Incarnation(1), number, PERMIT_SECONDS)
 
 
 class Scene:
-    """Two replicas: c1 leads, the agent is linked to c2."""
+    """Two replicas: c1 is the leader, the agent is linked to c2."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -29,103 +29,110 @@
         self.leader, self.follower = FakeReplica("c1"), FakeReplica("c2")
         self.leader.leading = True
         self.follower.known_leader = ReplicaId("c1")
-        self.agent = FakeLink(Role.AGENT, "a1")
-        self.between = FakeLink(Role.CONTROL, "control-2")
-        self.desk = self.make_desk(self.leader)
-        self.passing = self.make_desk(self.follower)
+        self.agent_link = FakeLink(Role.AGENT, "a1")
+        self.peer_link = FakeLink(Role.CONTROL, "control-2")
+        self.leader_permits = self.make_service(self.leader)
+        self.follower_permits = self.make_service(self.follower)
 
-    def make_desk(self, replica) -> PermitDesk:
-        return PermitDesk(self.log.state, replica, self.forward, self.clock)
+    def make_service(self, replica) -> PermitService:
+        return PermitService(self.log.state, replica, self.forward, self.clock)
 
     def forward(self, replica, message) -> bool:
         if replica != "c1":
             return False
         match message:
             case AskPermit():
-                self.desk.ask(self.between, message)
+                self.leader_permits.handle_request(self.peer_link, message)
             case ReleasePermit():
-                self.desk.release(self.between, message)
+                self.leader_permits.release(self.peer_link, message)
         return True
 
-    def return_answers(self) -> None:
-        for answer in self.between.sent:
+    def deliver_answers(self) -> None:
+        for answer in self.peer_link.sent:
             if isinstance(answer, PermitAnswer):
-                self.passing.deliver(answer)
-        self.between.sent.clear()
+                self.follower_permits.deliver(answer)
+        self.peer_link.sent.clear()
 
 
-async def test_ask_passes_through_a_follower():
+async def test_follower_forwards_request():
     scene = Scene()
-    await scene.desk.review()
+    await scene.leader_permits.update_leadership()
     scene.log.apply(make_registration("n1"))
-    scene.passing.ask(scene.agent, make_ask(1))
-    scene.return_answers()
-    assert scene.agent.sent == [make_grant(1)]
-    scene.passing.release(scene.agent, ReleasePermit(TargetId("t1"), Incarnation(1), 1))
-    assert scene.desk.in_flight == 0
+    scene.follower_permits.handle_request(scene.agent_link, make_request(1))
+    scene.deliver_answers()
+    assert scene.agent_link.sent == [make_grant(1)]
+    scene.follower_permits.release(
+        scene.agent_link, ReleasePermit(TargetId("t1"), Incarnation(1), 1)
+    )
+    assert scene.leader_permits.in_flight == 0
 
 
-async def test_new_leader_waits_for_its_predecessors_permits():
-    """Targets hold permits of a leader that is gone; the next knows none of them."""
+async def test_new_leader_waits_until_old_permits_expire():
+    """Targets hold permits of a former leader, which the new one doesn't know.
+
+    Granting at once would exceed the limits of the weight store.
+    """
     scene = Scene()
     scene.log.apply(make_registration("n1"))
-    await scene.desk.review()
-    for wait in (0.0, TAKEOVER_PAUSE - 0.1):
+    await scene.leader_permits.update_leadership()
+    for wait in (0.0, TAKEOVER_PAUSE_SECONDS - 0.1):
         scene.clock.step(wait)
-        scene.desk.ask(scene.agent, make_ask(1))
-        assert scene.agent.sent == []
+        scene.leader_permits.handle_request(scene.agent_link, make_request(1))
+        assert scene.agent_link.sent == []
     scene.clock.step(0.2)
-    scene.desk.ask(scene.agent, make_ask(1))
-    assert scene.agent.sent == [make_grant(1)]
+    scene.leader_permits.handle_request(scene.agent_link, make_request(1))
+    assert scene.agent_link.sent == [make_grant(1)]
 
 
-async def test_first_leader_ever_waits_for_nobody():
+async def test_first_leader_grants_without_pause():
     scene = Scene()
-    await scene.desk.review()
+    await scene.leader_permits.update_leadership()
     scene.log.apply(make_registration("n1"))
-    scene.desk.ask(scene.agent, make_ask(1))
-    assert scene.agent.sent == [make_grant(1)]
+    scene.leader_permits.handle_request(scene.agent_link, make_request(1))
+    assert scene.agent_link.sent == [make_grant(1)]
 
 
 @pytest.mark.parametrize("lost", ["leading", "vouched"])
 async def test_leader_that_lost_its_quorum_grants_nothing(lost):
-    """The old leader is cut off; another one grants from the same store already."""
+    """A partitioned old leader would grant beside its successor on the same store."""
     scene = Scene()
-    await scene.desk.review()
+    await scene.leader_permits.update_leadership()
     scene.log.apply(make_registration("n1"))
     setattr(scene.leader, lost, 0.0)
-    await scene.desk.review()
-    scene.desk.ask(scene.agent, make_ask(1))
-    (answer,) = scene.agent.sent
+    await scene.leader_permits.update_leadership()
+    scene.leader_permits.handle_request(scene.agent_link, make_request(1))
+    (answer,) = scene.agent_link.sent
     assert isinstance(answer, Refusal)
     assert answer.code is ErrorCode.NOT_LEADER
 
 
-async def test_leader_that_comes_back_waits_again():
-    """Another replica led, and granted permits, while this one was cut off."""
+async def test_reelected_leader_waits_again():
+    """Another replica was leader and granted permits while this one was partitioned."""
     scene = Scene()
-    await scene.desk.review()
+    await scene.leader_permits.update_leadership()
     scene.log.apply(make_registration("n1"))
     for leading in (False, True):
         scene.leader.leading = leading
-        await scene.desk.review()
-    scene.desk.ask(scene.agent, make_ask(1))
-    assert scene.agent.sent == []
+        await scene.leader_permits.update_leadership()
+    scene.leader_permits.handle_request(scene.agent_link, make_request(1))
+    assert scene.agent_link.sent == []
 
 
 async def test_ended_incarnation_gets_no_permit():
     scene = Scene()
-    await scene.desk.review()
+    await scene.leader_permits.update_leadership()
     scene.log.apply(make_registration("n1"))
     scene.log.apply(make_registration("n2"))
-    scene.desk.ask(scene.agent, make_ask(1, incarnation=1))
-    assert scene.agent.sent == []
+    scene.leader_permits.handle_request(
+        scene.agent_link, make_request(1, incarnation=1)
+    )
+    assert scene.agent_link.sent == []
 
 
-async def test_two_replicas_that_name_each_other_dont_loop():
+async def test_request_is_forwarded_only_once():
     scene = Scene()
     scene.leader.leading = False
     scene.leader.known_leader = ReplicaId("c1")
-    scene.passing.ask(scene.agent, make_ask(1))
-    (answer,) = scene.between.sent
+    scene.follower_permits.handle_request(scene.agent_link, make_request(1))
+    (answer,) = scene.peer_link.sent
     assert isinstance(answer, Refusal)
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -140,8 +140,8 @@
         return True
 
 
-class QuietDesk(Quiet):
-    async def review(self) -> None:
+class IdlePermitService(Quiet):
+    async def update_leadership(self) -> None:
         pass
 
 
@@ -160,7 +160,14 @@
     quiet = Quiet()
     announced = AnnounceReplica(C1, HostId("h1"), "127.0.0.1", 7400)
     upkeep = Upkeep(
-        lambda: announced, log.state, replica, quiet, QuietDesk(), quiet, quiet, clock
+        lambda: announced,
+        log.state,
+        replica,
+        quiet,
+        IdlePermitService(),
+        quiet,
+        quiet,
+        clock,
     )
     for seconds in (0.0, TIME_INTERVAL):
         clock.step(seconds)
--- a/tests/proofs/world.py
+++ b/tests/proofs/world.py
@@ -22,7 +22,7 @@
     decode_result,
     encode_command,
 )
-from ibishead.control.granting import PermitDesk
+from ibishead.control.granting import PermitService
 from ibishead.control.publish import Publisher
 from ibishead.control.service import ControlService
 from ibishead.control.state import ControlState
@@ -292,16 +292,16 @@
         self._machine = _Machine(self.state)
         replica = LoneReplica(ReplicaId("c1"), self._machine)
         publisher = Publisher(self.state, replica.lease, self._clock)
-        desk = PermitDesk(self.state, replica, lambda *_: False, self._clock)
+        permits = PermitService(self.state, replica, lambda *_: False, self._clock)
         service = ControlService(
-            ReplicaId("c1"), self.state, replica, publisher, desk, self._clock
+            ReplicaId("c1"), self.state, replica, publisher, permits, self._clock
         )
         self.state.on_change = lambda: asyncio.get_running_loop().call_soon(
             publisher.publish
         )
         hello = Hello(Role.CONTROL, CONTROL_HOST)
         self.network.add(CONTROL, CONTROL_HOST, lambda: hello, service.serve)
-        self._reviewing = asyncio.create_task(_review(desk))
+        self._reviewing = asyncio.create_task(_review(permits))
 
     async def _add_target(self, name: str, service: str, fake: FakeTarget) -> None:
         is_engine = isinstance(fake, FakeEngine)
@@ -371,9 +371,9 @@
         return self._state.apply(self._index, command)
 
 
-async def _review(desk: PermitDesk) -> None:
+async def _review(permits: PermitService) -> None:
     while True:
-        await desk.review()
+        await permits.update_leadership()
         await asyncio.sleep(0.25)
 
 
