--- a/src/ibishead/control/claims.py
+++ b/src/ibishead/control/claims.py
@@ -1,8 +1,8 @@
-"""Claims of non-idempotent requests, as replicated state.
+"""Claims on non-idempotent requests, as replicated state.
 
-A claim is the right to run one request once. It is granted to the first asker,
-granted anew only on the holder's proof that the attempt did not run, and kept with
-its outcome until its retention ends.
+A claim is the right to run one request once. It is granted to the first requester
+and granted again only after its holder has proved that the attempt did not run. It
+is stored with its outcome until its retention period ends.
 """
 
 import msgspec
@@ -22,27 +22,27 @@
 
 __all__ = ["ClaimKey", "ClaimTable", "SavedClaims"]
 
-#: Largest answer in bytes that is recorded with its claim. Answers of commits and
-#: stock issues are small; a larger one is recorded as completed, without its body.
-MAX_ANSWER = 64 * 1024
+#: Largest response body that is stored with its claim. Responses to commits and stock
+#: issues are small; a claim with a larger one is completed without its body.
+MAX_ANSWER_BYTES = 64 * 1024
 
-#: Bytes of recorded answers altogether; above it only outcomes are recorded, so
-#: that a burst of large answers can't exhaust every replica's memory.
-MAX_ANSWERS = 64 * 1024 * 1024
+#: Total size of the stored bodies; above it only outcomes are stored, so that a burst
+#: of large responses can't exhaust the memory of every replica.
+MAX_TOTAL_ANSWER_BYTES = 64 * 1024 * 1024
 
-#: Claims purged in one step, so that no log entry takes long to apply.
+#: Claims expired by one step of the time, so that no log entry takes long to apply.
 PURGE_LIMIT = 256
 
-#: Seconds that the time moves at most in one step, whatever the leader measured: a
-#: leap would end retentions at once, and requests could run again.
-MAX_ADVANCE = 60.0
+#: Longest step of the replicated time, whatever the leader measured. A jump would end
+#: retention periods early, and requests could run a second time.
+MAX_ADVANCE_SECONDS = 60.0
 
-#: Seconds of retention at most, whatever was asked for.
-MAX_RETENTION = 30 * 24 * 3600.0
+#: Longest retention period, whatever was requested.
+MAX_RETENTION_SECONDS = 30 * 24 * 3600.0
 
 
 class ClaimKey(msgspec.Struct, frozen=True, array_like=True):
-    """What a claim is kept under; two teams may use the same key."""
+    """Key of a claim: an idempotency key in the scope of a team and a service."""
 
     team: TeamId
     service: ServiceName
@@ -65,7 +65,10 @@
 
 
 class SavedClaims(msgspec.Struct, frozen=True, array_like=True):
-    """The table as a snapshot holds it."""
+    """The table's form in snapshots.
+
+    :param time: replicated time in seconds.
+    """
 
     time: float = 0.0
     claims: tuple[_Claim, ...] = ()
@@ -74,110 +77,118 @@
 class ClaimTable:
     """Claims by key.
 
-    Its time is counted in seconds that leaders have measured while claims were
-    held, not taken from a wall clock, which may leap.
+    Retention is measured in replicated time: the sum of the steps that leaders have
+    measured while there were claims. A wall clock might jump.
 
-    :param saved: of a snapshot.
+    :param saved: the table of a snapshot, if there is one.
     """
 
     def __init__(self, saved: SavedClaims | None = None) -> None:
         saved = saved or SavedClaims()
         self._time = saved.time
         self._claims = {claim.key: claim for claim in saved.claims}
-        self._stored = sum(len(claim.body) for claim in saved.claims)
+        self._stored_bytes = sum(len(claim.body) for claim in saved.claims)
         self._open: dict[tuple[TargetId, Incarnation], set[ClaimKey]] = {}
         for claim in saved.claims:
             if claim.state is ClaimState.GRANTED:
-                self._index(claim)
+                self._add_open(claim)
 
     @property
     def time(self) -> float:
-        """Seconds counted so far."""
+        """Replicated time in seconds."""
         return self._time
 
     def __len__(self) -> int:
         return len(self._claims)
 
     def save(self) -> SavedClaims:
-        """Return the table for a snapshot."""
+        """Return the table in the form that a snapshot stores."""
         return SavedClaims(self._time, tuple(self._claims.values()))
 
     def find(self, key: ClaimKey) -> ClaimAnswer | None:
-        """Return where a claim stands, as someone other than its holder sees it."""
+        """Return the state of a claim as reported to anyone but its holder."""
         claim = self._claims.get(key)
-        return None if claim is None else _describe(claim, RequestId(""))
+        return None if claim is None else _make_answer(claim, RequestId(""))
 
-    def holds(self, ask: AskClaim) -> bool:
-        """Return whether the ask will be answered from what is held already."""
-        claim = self._claims.get(ClaimKey(ask.team, ask.service, ask.key))
+    def has_answer(self, request: AskClaim) -> bool:
+        """Return whether `acquire` answers from the table, without a new grant."""
+        claim = self._claims.get(ClaimKey(request.team, request.service, request.key))
         if claim is None:
             return False
-        return claim.digest != ask.digest or claim.state is not ClaimState.NOT_RUN
+        return claim.digest != request.digest or claim.state is not ClaimState.NOT_RUN
 
-    def ask(self, ask: AskClaim) -> ClaimAnswer:
-        """Grant the claim, or tell where it stands.
+    def acquire(self, request: AskClaim) -> ClaimAnswer:
+        """Grant the claim, or return its state when it is held or settled already.
 
-        The incarnation asked for must be live.
+        The caller has checked that the incarnation is live, unless `has_answer`.
         """
-        key = ClaimKey(ask.team, ask.service, ask.key)
+        key = ClaimKey(request.team, request.service, request.key)
         claim = self._claims.get(key)
         if claim is None:
-            claim = self._grant(key, ask, Generation(1))
-        elif claim.digest != ask.digest:
-            answer = _describe(claim, RequestId(""))
+            claim = self._grant(key, request, Generation(1))
+        elif claim.digest != request.digest:
+            answer = _make_answer(claim, RequestId(""))
             return msgspec.structs.replace(
                 answer,
-                request=ask.request,
+                request=request.request,
                 state=ClaimState.KEY_REUSED,
                 answer_status=0,
                 answer_headers=(),
                 answer_body=b"",
             )
-        # Only a proof for the last generation leads here: a claim that is running
-        # or unknown is never granted anew, as the request may run or have run.
+        # Only a proof for the last generation sets this state. A claim that is running
+        # or unknown is never granted again, as its request may run or have run.
         elif claim.state is ClaimState.NOT_RUN:
-            claim = self._grant(key, ask, Generation(claim.generation + 1))
-        return _describe(claim, ask.request)
+            claim = self._grant(key, request, Generation(claim.generation + 1))
+        return _make_answer(claim, request.request)
 
     def settle(self, resolve: ResolveClaim) -> ClaimAnswer | Rejected:
-        """Record an outcome that the holder of that generation reports."""
+        """Record the outcome that the holder of a generation reports.
+
+        A report of another requester or generation changes nothing.
+        """
         key = ClaimKey(resolve.team, resolve.service, resolve.key)
         claim = self._claims.get(key)
         if claim is None:
             return Rejected(
                 ErrorCode.UNKNOWN_REQUEST,
                 f"no claim is held under key {resolve.key}",
-                "ask for the claim before the request is sent",
+                "acquire the claim before sending the request",
             )
-        # Failure: a holder's report on an earlier generation, delayed on its way,
-        # comes while a later one runs. "Not run" is true of the earlier one only.
-        holds = claim.generation == resolve.generation
-        if holds and claim.holder == resolve.request:
+        # Failure: a holder's delayed report on an earlier generation arrives while a
+        # later one runs. "Not run" applies to the earlier generation only.
+        is_current = claim.generation == resolve.generation
+        if is_current and claim.holder == resolve.request:
             self._record(claim, resolve)
-        return _describe(claim, resolve.request)
+        return _make_answer(claim, resolve.request)
 
-    def end(self, target: TargetId, incarnation: Incarnation) -> None:
-        """Mark as unknown what an incarnation held when it ended."""
+    def end_incarnation(self, target: TargetId, incarnation: Incarnation) -> None:
+        """Mark the granted claims of an ended incarnation as unknown."""
         for key in self._open.pop((target, incarnation), ()):
             claim = self._claims[key]
             claim.state = ClaimState.UNKNOWN
-            self._retain(claim)
+            self._set_expiry(claim)
 
     def advance(self, since: float, seconds: float) -> None:
-        """Move the time on from ``since`` and purge what has expired.
+        """Advance the time from ``since`` and process the expired claims.
+
+        A granted claim becomes unknown for another retention period, others are
+        deleted. A step that starts from another time, such as a repeated one, changes
+        nothing.
 
-        A repeated step, which finds the time moved already, changes nothing.
+        :param since: replicated time in seconds that the step was measured from.
+        :param seconds: length of the step, cut to `MAX_ADVANCE_SECONDS`.
         """
         if self._time != since or not seconds > 0:
             return
-        self._time += min(seconds, MAX_ADVANCE)
+        self._time += min(seconds, MAX_ADVANCE_SECONDS)
         for claim in self._list_expired():
             if claim.state is ClaimState.GRANTED:
                 self._open[claim.target, claim.incarnation].discard(claim.key)
                 claim.state = ClaimState.UNKNOWN
-                self._retain(claim)
+                self._set_expiry(claim)
             else:
-                self._stored -= len(claim.body)
+                self._stored_bytes -= len(claim.body)
                 del self._claims[claim.key]
 
     def _list_expired(self) -> list[_Claim]:
@@ -189,65 +200,70 @@
                     break
         return expired
 
-    def _grant(self, key: ClaimKey, ask: AskClaim, generation: Generation) -> _Claim:
+    def _grant(
+        self, key: ClaimKey, request: AskClaim, generation: Generation
+    ) -> _Claim:
         claim = _Claim(
             key,
-            ask.digest,
-            ask.request,
-            ask.target,
-            ask.incarnation,
+            request.digest,
+            request.request,
+            request.target,
+            request.incarnation,
             generation,
             ClaimState.GRANTED,
-            min(max(ask.retention, 0.0), MAX_RETENTION),
+            min(max(request.retention, 0.0), MAX_RETENTION_SECONDS),
             0.0,
         )
-        self._retain(claim)
+        self._set_expiry(claim)
         self._claims[key] = claim
-        self._index(claim)
+        self._add_open(claim)
         return claim
 
     def _record(self, claim: _Claim, resolve: ResolveClaim) -> None:
         match claim.state, resolve.outcome:
-            # An answer that was seen whole is proof, even after the incarnation
-            # was given up for silent.
+            # A complete response is proof that the request ran, even after the
+            # incarnation was ended because it had been silent.
             case ((ClaimState.GRANTED | ClaimState.UNKNOWN), Outcome.COMPLETED):
                 claim.state = ClaimState.COMPLETED
-                self._store(claim, resolve)
+                self._store_answer(claim, resolve)
             case ClaimState.GRANTED, Outcome.NOT_RUN:
                 claim.state = ClaimState.NOT_RUN
             case ClaimState.GRANTED, Outcome.UNKNOWN:
                 claim.state = ClaimState.UNKNOWN
             case _:
                 return
-        held = self._open.get((claim.target, claim.incarnation))
-        if held is not None:
-            held.discard(claim.key)
-            if not held:
+        open_claims = self._open.get((claim.target, claim.incarnation))
+        if open_claims is not None:
+            open_claims.discard(claim.key)
+            if not open_claims:
                 del self._open[claim.target, claim.incarnation]
-        self._retain(claim)
+        self._set_expiry(claim)
 
-    def _store(self, claim: _Claim, resolve: ResolveClaim) -> None:
+    def _store_answer(self, claim: _Claim, resolve: ResolveClaim) -> None:
         claim.status = resolve.answer_status
         claim.headers = resolve.answer_headers
         size = len(resolve.answer_body)
-        if size <= MAX_ANSWER and self._stored + size <= MAX_ANSWERS:
+        if (
+            size <= MAX_ANSWER_BYTES
+            and self._stored_bytes + size <= MAX_TOTAL_ANSWER_BYTES
+        ):
             claim.body = resolve.answer_body
-            self._stored += size
+            self._stored_bytes += size
 
-    def _retain(self, claim: _Claim) -> None:
-        # The step that is being measured now began before the claim did
-        claim.expires = self._time + MAX_ADVANCE + claim.retention
+    def _set_expiry(self, claim: _Claim) -> None:
+        # The step that the leader is measuring now began before this moment
+        claim.expires = self._time + MAX_ADVANCE_SECONDS + claim.retention
 
-    def _index(self, claim: _Claim) -> None:
+    def _add_open(self, claim: _Claim) -> None:
         self._open.setdefault((claim.target, claim.incarnation), set()).add(claim.key)
 
 
-def _describe(claim: _Claim, asker: RequestId) -> ClaimAnswer:
+def _make_answer(claim: _Claim, requester: RequestId) -> ClaimAnswer:
     state = claim.state
-    if state is ClaimState.GRANTED and asker != claim.holder:
+    if state is ClaimState.GRANTED and requester != claim.holder:
         state = ClaimState.RUNNING
     return ClaimAnswer(
-        asker,
+        requester,
         claim.key.team,
         claim.key.service,
         claim.key.key,
--- a/src/ibishead/control/operators.py
+++ b/src/ibishead/control/operators.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a control replica for operators and the platform."""
+"""HTTP interface of a control replica for operators and the platform."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
@@ -61,28 +61,30 @@
 
 __all__ = ["OperatorApi"]
 
-_KINDS: dict[ErrorCode, type[IbisheadError]] = {
+_ERROR_CLASSES: dict[ErrorCode, type[IbisheadError]] = {
     ErrorCode.FORBIDDEN: Forbidden,
     ErrorCode.KEY_REUSED: Conflict,
     ErrorCode.UNKNOWN_TARGET: NotFound,
 }
 
 
-_PLAIN: Headers = (("content-type", "text/plain"),)
+_TEXT_HEADERS: Headers = (("content-type", "text/plain"),)
 
 
 @dataclass(frozen=True)
-class _Page:
+class _RawResponse:
     headers: Headers
     body: bytes
 
 
 class OperatorApi:
-    """Answers operators' requests.
+    """Handles the HTTP requests of operators and the platform.
 
-    :param admin_keys: SHA-256 of keys that may submit new services, drain targets
-        and replace replicas; when empty, everybody may, which suits a demo only.
-    :param find_waiting: returns the holders that haven't applied an index.
+    :param find_waiting: returns the hosts that may not have applied an index.
+    :param admin_keys: SHA-256 digests of the keys that may submit new services, drain
+        targets and replace replicas; when empty, no key is required, which is
+        suitable for demonstrations only.
+    :ivar stopping: the replica is stopping and reports that it isn't ready.
     """
 
     def __init__(
@@ -106,9 +108,9 @@
         self._metrics = Metrics("control")
 
     async def answer(self, exchange: Exchange) -> None:
-        """Answer one request.
+        """Handle one request.
 
-        :raises IbisheadError: the request is refused; the web server shows why.
+        :raises IbisheadError: the request is refused; the web server sends the reason.
         """
         request = exchange.request
         try:
@@ -116,7 +118,7 @@
         except IbisheadError as error:
             self._metrics.count_refusal(error.code)
             raise
-        if isinstance(value, _Page):
+        if isinstance(value, _RawResponse):
             await exchange.respond(200, value.headers, value.body)
             return
         body = msgspec.json.encode(value)
@@ -124,10 +126,10 @@
 
     async def _route(self, request: WebRequest) -> Any:
         segments = [unquote(part) for part in request.path.strip("/").split("/")]
-        query = {name: v[-1] for name, v in parse_qs(request.query).items()}
+        query = {name: values[-1] for name, values in parse_qs(request.query).items()}
         match request.method, segments:
             case "GET", ["livez"]:
-                return _Page(_PLAIN, b"ok\n")
+                return _RawResponse(_TEXT_HEADERS, b"ok\n")
             case "GET", ["readyz"]:
                 return self._check_ready()
             case "GET", ["metrics"]:
@@ -143,7 +145,7 @@
             case "GET", ["v1", *rest]:
                 return await self._read(rest, query)
         raise NotFound(
-            f"there is no {request.method} {request.path}",
+            f"unknown method or path: {request.method} {request.path}",
             "see docs/OPERATIONS.md for the paths",
         )
 
@@ -156,13 +158,13 @@
                 await self._check_index(index)
                 waiting = await self._find_waiting(index)
                 return InForce(not waiting, waiting)
-        # Failure: a replica that was cut off answers from an old state, and an
-        # operator edits a revision that was replaced. Reads go through the quorum.
+        # Failure: a partitioned replica answers from an old state, and an operator
+        # edits a revision that was replaced. Reads are confirmed by the quorum.
         await self._replica.confirm_read()
         match segments:
             case ["documents"]:
-                held = self._state.documents.documents.values()
-                return [describe_document(record) for record in held]
+                records = self._state.documents.documents.values()
+                return [describe_document(record) for record in records]
             case ["documents", service]:
                 return describe_document(self._find_document(service), text=True)
             case ["documents", service, "history"]:
@@ -175,15 +177,15 @@
             case ["requests", team, service, key]:
                 return self._describe_claim(team, service, key)
         raise NotFound(
-            f"there is no /v1/{'/'.join(segments)}",
+            f"unknown path: /v1/{'/'.join(segments)}",
             "see docs/OPERATIONS.md for the paths",
         )
 
     async def _submit(
         self, request: WebRequest, service: ServiceName, query: Mapping[str, str]
     ) -> Submitted:
-        # An operator's key may have been withdrawn by a revision of which this
-        # replica hasn't heard
+        # An operator's key may have been revoked by a revision that this replica
+        # hasn't applied yet
         await self._replica.confirm_read()
         operator = self._authorize(request, service)
         text = _decode_text(request.body)
@@ -202,11 +204,13 @@
         match await self._propose(command):
             case Accepted(_, revision, submission, index):
                 self._metrics.count_event("submission")
-                # Durable is all that is waited for; /v1/in-force tells the rest
+                # Only durability is awaited; /v1/in-force reports the rest
                 return Submitted(service, revision, submission, index, False)
             case StaleBase() as stale:
                 raise describe_conflict(stale, command.base)
-        raise IbisheadError("the log gave no answer", "report this with the log lines")
+        raise IbisheadError(
+            "the log gave an unexpected result", "report this with the log records"
+        )
 
     async def _check_index(self, index: LogIndex) -> None:
         if index <= self._state.applied:
@@ -214,47 +218,47 @@
         await self._replica.confirm_read()
         if index > self._state.applied:
             raise NotFound(
-                f"the log has no index {index} yet",
-                "ask for the index that a submission returned",
+                f"log index {index} does not exist yet",
+                "use the index that a submission returned",
             )
 
     async def _replace(self, request: WebRequest) -> dict[str, str]:
         try:
-            ask = msgspec.json.decode(request.body, type=Replacement)
+            replacement = msgspec.json.decode(request.body, type=Replacement)
         except msgspec.DecodeError as error:
             raise InvalidInput(
-                f"the body is no replacement: {error}",
+                f"the body is not a valid replacement: {error}",
                 'send {"lost": REPLICA, "host": HOST}',
             ) from error
-        fresh = await self._replica.change_replicas(
-            self._find_replica(ask.lost), HostId(ask.host)
+        new = await self._replica.change_replicas(
+            self._find_replica(replacement.lost), HostId(replacement.host)
         )
-        return {"replica": fresh}
+        return {"replica": new}
 
     def _find_replica(self, name: str) -> ReplicaId:
-        # An operator knows the name in the settings; the log knows the identity
+        # Operators use the name in the settings, the log uses the identity
         replicas = self._replica.replicas()
         known = (*replicas.voters, *replicas.learners)
         found = [r for r in known if name in (r, r.rpartition(".")[0])]
         if len(found) != 1:
             raise NotFound(
-                f"{len(found)} replicas are named {name}",
-                "see `ibishead status`; it may have been replaced already",
+                f"{len(found)} replicas match the name {name}",
+                "see `ibishead status`; the replica may have been replaced already",
             )
         return found[0]
 
     async def _propose(self, command: Command) -> Result:
         result = await propose_command(self._replica, self._clock, command)
         if isinstance(result, Rejected):
-            kind = _KINDS.get(result.code, Conflict)
-            raise kind(result.message, result.remedy, code=result.code)
+            error_class = _ERROR_CLASSES.get(result.code, Conflict)
+            raise error_class(result.message, result.remedy, code=result.code)
         return result
 
     def _authorize(self, request: WebRequest, service: ServiceName) -> str:
-        held = self._state.documents.documents.get(service)
+        record = self._state.documents.documents.get(service)
         keys = set(self._admin_keys)
-        if held is not None:
-            keys.update(parse_document(held.text).operators)
+        if record is not None:
+            keys.update(parse_document(record.text).operators)
         return _check_key(request, keys)
 
     def _require_admin(self, request: WebRequest) -> None:
@@ -264,8 +268,8 @@
         record = self._state.documents.documents.get(ServiceName(service))
         if record is None:
             raise NotFound(
-                f"no service {service} has a document",
-                "see the services that have one, or submit with base 0",
+                f"service {service} has no document",
+                "list the services that have one, or submit a new one with base 0",
                 code=ErrorCode.UNKNOWN_SERVICE,
             )
         return record
@@ -276,13 +280,13 @@
         )
         if found is None:
             raise NotFound(
-                f"no claim is held under key {key}",
-                "its retention has ended or it was never asked for",
+                f"there is no claim with key {key}",
+                "its retention period has ended, or it was never requested",
                 code=ErrorCode.UNKNOWN_REQUEST,
             )
-        shown = msgspec.structs.asdict(found)
-        del shown["answer_body"], shown["request"]
-        return shown
+        view = msgspec.structs.asdict(found)
+        del view["answer_body"], view["request"]
+        return view
 
     def _describe_status(self) -> Status:
         replicas = self._replica.replicas()
@@ -297,7 +301,7 @@
             self._replica.lease(),
         )
 
-    def _check_ready(self) -> _Page:
+    def _check_ready(self) -> _RawResponse:
         if self.stopping:
             raise Unavailable(
                 "the replica is stopping",
@@ -306,13 +310,13 @@
             )
         if self._replica.lease() <= 0:
             raise Unavailable(
-                "the replica has no quorum",
-                "use another replica; check its links to the others",
+                "the replica has no contact with a quorum",
+                "use another replica; check the links between the replicas",
                 code=ErrorCode.NO_QUORUM,
             )
-        return _Page(_PLAIN, b"ready\n")
+        return _RawResponse(_TEXT_HEADERS, b"ready\n")
 
-    def _render_metrics(self, request: WebRequest) -> _Page:
+    def _render_metrics(self, request: WebRequest) -> _RawResponse:
         gauges = {
             "applied_index": self._state.applied,
             "subscribers": len(self._publisher),
@@ -323,7 +327,7 @@
         for name, value in gauges.items():
             self._metrics.set_gauge(name, value)
         accept = find_header(request.headers, "accept")
-        return _Page(*self._metrics.render((accept,) if accept else ()))
+        return _RawResponse(*self._metrics.render((accept,) if accept else ()))
 
 
 def _check_key(request: WebRequest, allowed: set[str]) -> str:
@@ -333,18 +337,18 @@
 
 
 def _check_names(
-    service: str, team: str, written_service: str, written_team: str
+    service: str, team: str, document_service: str, document_team: str
 ) -> None:
-    if written_service and written_service != service:
+    if document_service and document_service != service:
         raise InvalidInput(
-            f"the document is for service {written_service}, not {service}",
-            "submit it under the name that it holds",
+            f"the document is for service {document_service}, not {service}",
+            "submit it under the service name in the document",
             code=ErrorCode.DOCUMENT_INVALID,
         )
-    if not team or (written_team and written_team != team):
+    if not team or (document_team and document_team != team):
         raise InvalidInput(
-            f"the document is for team {written_team!r}, not {team!r}",
-            "submit it for the team that it names",
+            f"the document is for team {document_team!r}, not {team!r}",
+            "submit it for the team named in the document",
             code=ErrorCode.DOCUMENT_INVALID,
         )
 
@@ -354,7 +358,7 @@
         return body.decode("utf-8")
     except UnicodeDecodeError as error:
         raise InvalidInput(
-            "the document is no UTF-8",
+            "the document is not valid UTF-8",
             "save it as UTF-8",
             code=ErrorCode.DOCUMENT_INVALID,
         ) from error
@@ -363,11 +367,16 @@
 def _read_text(query: Mapping[str, str], name: str) -> str:
     if value := query.get(name):
         return value
-    raise InvalidInput(f"{name} is missing", f"add ?{name}=… to the path")
+    raise InvalidInput(
+        f"query parameter {name} is missing", f"add {name}=… to the query"
+    )
 
 
 def _read_number(query: Mapping[str, str], name: str) -> int:
     text = _read_text(query, name)
     if not (text.isascii() and text.isdigit()):
-        raise InvalidInput(f"{name} is no number: {text!r}", "send a whole number")
+        raise InvalidInput(
+            f"query parameter {name} is not a whole number: {text!r}",
+            "send decimal digits",
+        )
     return int(text)
--- a/src/ibishead/control/server.py
+++ b/src/ibishead/control/server.py
@@ -1,4 +1,4 @@
-"""One control replica: its state, its link server and its HTTP server."""
+"""One control replica: its replicated state, its link server and its HTTP server."""
 
 import asyncio
 import contextlib
@@ -31,16 +31,16 @@
 
 @dataclass(frozen=True)
 class Endpoints:
-    """Where a control replica listens."""
+    """Endpoints at which a control replica listens."""
 
     links: Endpoint
     operators: Endpoint
 
 
 class ControlServer:
-    """Serves entries, agents and operators from one replica.
+    """Serves entry hosts, agents and operators from one replica.
 
-    :param name: the replica's identity in the replicated log.
+    :param name: identity of the replica in the replicated log.
     :param state: the state machine that ``replica`` drives.
     """
 
@@ -105,37 +105,37 @@
         self._web = WebServer(
             self._api.answer, tls=make_server_context(pair) if pair else None
         )
-        self._rounds: asyncio.Task[None] | None = None
-        self._scheduled = False
+        self._upkeep_task: asyncio.Task[None] | None = None
+        self._publish_scheduled = False
         state.on_change = self._schedule_publish
 
     async def start(self) -> Endpoints:
-        """Listen, and return where."""
+        """Start listening, join the replica set, and return the endpoints."""
         links = await self._links.start(self._settings.links.endpoint)
         operators = await self._web.start(self._settings.operators.endpoint)
         self._endpoints = Endpoints(links, operators)
         await self._replica.start()
-        self._rounds = asyncio.create_task(self._upkeep.run())
+        self._upkeep_task = asyncio.create_task(self._upkeep.run())
         write_port_file(self._settings.links, links.port)
         write_port_file(self._settings.operators, operators.port)
         return self._endpoints
 
     def begin_stop(self) -> None:
-        """Show the platform that this replica is leaving."""
+        """Report to the platform, by ``/readyz``, that this replica is stopping."""
         self._api.stopping = True
 
     async def stop(self) -> None:
-        """Hand over the leadership, close links, finish answers."""
+        """Transfer the leadership, finish responses, close the links, and stop."""
         self.begin_stop()
         if self._replica.is_leader():
             try:
                 await self._replica.transfer()
             except IbisheadError as error:
-                logger.info("leadership not handed over", extra={"reason": str(error)})
-        if self._rounds is not None:
-            self._rounds.cancel()
+                logger.info("leadership not transferred", extra={"reason": str(error)})
+        if self._upkeep_task is not None:
+            self._upkeep_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self._rounds
+                await self._upkeep_task
         self._permits.stop()
         await self._relay.stop()
         await self._web.stop()
@@ -156,12 +156,12 @@
         self._permits.deliver(answer)
 
     def _schedule_publish(self) -> None:
-        # All that is committed in one turn of the loop goes out as one delta
+        # All changes committed in one iteration of the event loop go out as one delta
         self._force.note_change()
-        if not self._scheduled:
-            self._scheduled = True
+        if not self._publish_scheduled:
+            self._publish_scheduled = True
             asyncio.get_running_loop().call_soon(self._publish)
 
     def _publish(self) -> None:
-        self._scheduled = False
+        self._publish_scheduled = False
         self._publisher.publish()
--- a/src/ibishead/control/state.py
+++ b/src/ibishead/control/state.py
@@ -1,7 +1,7 @@
 """The control program's replicated state: documents, targets and claims.
 
-`ControlState` is the state machine that the log carries. It also remembers which
-targets changed at which index, so that subscribers get deltas.
+`ControlState` is the state machine that the replicated log drives. It also records
+which targets changed at which index, so that subscribers can be sent deltas.
 """
 
 import logging
@@ -42,21 +42,22 @@
 
 logger = logging.getLogger(__name__)
 
-#: Changes of targets kept for deltas; a subscriber further behind gets all targets.
-CHANGES_KEPT = 4096
+#: Target changes recorded for deltas; a subscriber further behind is sent all targets.
+MAX_TARGET_CHANGES = 4096
 
-#: Characters of documents in one delta, unless a single one is longer. With the
-#: largest body that is accepted it stays below the bound on a link's frame.
-MAX_DELTA = 2 * 1024 * 1024
+#: Total length of the documents in one delta, unless a single one is longer. Together
+#: with the largest accepted request body it stays below the size limit of a frame.
+MAX_DELTA_CHARACTERS = 2 * 1024 * 1024
 
 
 @dataclass(frozen=True)
 class Delta:
-    """What a subscriber is missing.
+    """The changes that a subscriber has not been sent.
 
-    :param index: where it stands once it has this.
-    :param whole: the targets are all that there are.
-    :param partial: more is missing; it follows from ``index`` on.
+    :param index: log index that the subscriber has reached with this delta.
+    :param gone: targets with their incarnations that have ended.
+    :param whole: the targets are the complete set.
+    :param partial: there are more changes, to be collected from ``index`` on.
     """
 
     index: LogIndex
@@ -68,7 +69,7 @@
 
     @property
     def empty(self) -> bool:
-        """Whether nothing but the index has moved."""
+        """Whether the delta carries an index only."""
         return not (self.whole or self.documents or self.targets or self.gone)
 
 
@@ -79,7 +80,7 @@
     ended: Incarnation | None = None
 
 
-class _Saved(msgspec.Struct, frozen=True, array_like=True):
+class _Snapshot(msgspec.Struct, frozen=True, array_like=True):
     applied: LogIndex
     changed: LogIndex
     documents: SavedDocuments
@@ -89,16 +90,17 @@
 
 
 class ControlState:
-    """All that the quorum has agreed on.
+    """The replicated state that the committed commands produce.
 
     :ivar applied: index of the last applied command.
-    :ivar changed: index of the last command that subscribers have to hear of.
-    :ivar replicas: where the replicas that have announced themselves serve links.
-    :ivar on_change: called after each step that subscribers have to hear of.
+    :ivar changed: index of the last command that changed what subscribers hold.
+    :ivar replicas: link endpoints of the replicas that have announced themselves.
+    :ivar on_change: called after each command or snapshot that changed what
+        subscribers hold.
     """
 
     def __init__(self) -> None:
-        self.on_change: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _do_nothing
         self.applied = LogIndex(0)
         self.changed = LogIndex(0)
         self.documents = DocumentTable()
@@ -111,8 +113,8 @@
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply one committed command and return its result; never raises.
 
-        Failure: a log entry that raises would stop every replica at the same place,
-        after every restart again. A bad entry is answered by a typed rejection.
+        Failure: a log entry that raises would stop every replica at the same index,
+        and again after each restart. An invalid entry gives a typed rejection.
         """
         position = LogIndex(index)
         try:
@@ -120,11 +122,11 @@
         except IbisheadError as error:
             result = Rejected(error.code, error.message, error.remedy)
         except Exception:
-            logger.exception("a log entry can't be applied", extra={"index": index})
+            logger.exception("log entry could not be applied", extra={"index": index})
             result = Rejected(
                 ErrorCode.INTERNAL,
-                f"log entry {index} can't be applied",
-                "report the index with the log line of the same time",
+                f"log entry {index} could not be applied",
+                "report this index together with the log record of the exception",
             )
         self.applied = position
         if self.changed == position:
@@ -132,9 +134,9 @@
         return encode_result(result)
 
     def capture(self) -> bytes:
-        """Return the whole state, for a snapshot."""
+        """Return the complete state, for a snapshot."""
         return msgspec.msgpack.encode(
-            _Saved(
+            _Snapshot(
                 self.applied,
                 self.changed,
                 self.documents.save(),
@@ -145,18 +147,18 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a captured one.
+        """Replace the complete state by a captured one.
 
-        A state outgrows what fits into a frame of a link, so that frames' codec and
-        its bound don't apply here.
+        A state may grow larger than a frame of a link, so that the codec of frames
+        with its size limit is not used here.
 
-        :raises StorageFault: this is no captured state.
+        :raises StorageFault: the data is not a captured state.
         """
         try:
-            saved = msgspec.msgpack.decode(data, type=_Saved)
+            saved = msgspec.msgpack.decode(data, type=_Snapshot)
         except msgspec.DecodeError as error:
             raise StorageFault(
-                f"the snapshot can't be read: {error}",
+                f"the snapshot can't be decoded: {error}",
                 "run the version of ibishead that wrote it, or replace this replica",
             ) from error
         self.applied = saved.applied
@@ -171,19 +173,21 @@
     def collect(
         self, index: LogIndex, services: frozenset[ServiceName] = frozenset()
     ) -> Delta:
-        """Return what a subscriber at ``index`` is missing.
+        """Return the changes after ``index``.
 
-        :param services: these only, or all when empty.
+        :param services: the services to include, or all of them when empty.
         """
         if index > 0 and self.changed <= index:
             return Delta(index)
-        documents, reached = self._take_documents(index, services)
+        documents, reached = self._collect_documents(index, services)
         whole = index == 0 or index < self._floor
-        missed = [] if whole else self._list_missed(index)
-        moved = self.targets.members if whole else {c.target: None for c in missed}
+        missed = [] if whole else self._list_target_changes(index)
+        changed_targets = (
+            self.targets.members if whole else {c.target: None for c in missed}
+        )
         targets = (
             self.targets.members[name].record
-            for name in moved
+            for name in changed_targets
             if name in self.targets.members
         )
         return Delta(
@@ -195,26 +199,27 @@
             reached < self.changed,
         )
 
-    def _take_documents(
+    def _collect_documents(
         self, index: LogIndex, services: frozenset[ServiceName]
     ) -> tuple[tuple[DocumentRecord, ...], LogIndex]:
-        taken: list[DocumentRecord] = []
+        collected: list[DocumentRecord] = []
         size = 0
         reached = index
         for changed, record in self.documents.list_changed(index):
             if services and record.service not in services:
                 continue
             size += len(record.text)
-            # Failure: many large documents exceed what a link carries in a frame;
-            # it would break at each try, and the holder would never be served.
-            if taken and size > MAX_DELTA:
-                return tuple(taken), reached
-            taken.append(record)
+            # Failure: many large documents together exceed the size limit of a frame.
+            # The link would break at each attempt and the holder never be served.
+            if collected and size > MAX_DELTA_CHARACTERS:
+                return tuple(collected), reached
+            collected.append(record)
             reached = changed
-        return tuple(taken), self.changed
+        return tuple(collected), self.changed
 
-    def _list_missed(self, index: LogIndex) -> list[_TargetChange]:
-        # Every holder reports each second and has missed nothing as a rule
+    def _list_target_changes(self, index: LogIndex) -> list[_TargetChange]:
+        # Every holder reports each second and has usually missed nothing, so that the
+        # search begins at the newest change
         missed = list(takewhile(lambda c: c.index > index, reversed(self._changes)))
         return missed[::-1]
 
@@ -230,8 +235,8 @@
                 return self._retire(index, command)
             case DrainTarget(target):
                 return self._drain(index, target)
-            case ClaimRequest(ask):
-                return self._claim(ask)
+            case ClaimRequest(request):
+                return self._claim(request)
             case SettleClaim(resolve):
                 return self.claims.settle(resolve)
             case AdvanceTime(since, seconds):
@@ -253,8 +258,8 @@
         if isinstance(result, Registered) and result.incarnation == index:
             ended = before.record.incarnation if before is not None else None
             if ended is not None:
-                self.claims.end(target, ended)
-            self._note(_TargetChange(index, target, ended))
+                self.claims.end_incarnation(target, ended)
+            self._record_target_change(_TargetChange(index, target, ended))
         return result
 
     def _retire(self, index: LogIndex, command: RetireTarget) -> Result:
@@ -262,29 +267,31 @@
         result = self.targets.retire(index, command)
         if before is not None and isinstance(result, Done):
             ended = before.record.incarnation
-            self.claims.end(command.target, ended)
-            self._note(_TargetChange(index, command.target, ended))
+            self.claims.end_incarnation(command.target, ended)
+            self._record_target_change(_TargetChange(index, command.target, ended))
         return result
 
     def _drain(self, index: LogIndex, target: TargetId) -> Result:
         result = self.targets.drain(index, target)
         if isinstance(result, Done):
-            self._note(_TargetChange(index, target))
+            self._record_target_change(_TargetChange(index, target))
         return result
 
-    def _claim(self, ask: AskClaim) -> Result:
-        known = self.claims.holds(ask)
-        # A claim for an incarnation that has ended would never be marked unknown
-        if not known and not self.targets.is_live(ask.target, ask.incarnation):
+    def _claim(self, request: AskClaim) -> Result:
+        is_known = self.claims.has_answer(request)
+        # A claim granted to an ended incarnation would never be marked unknown
+        if not is_known and not self.targets.is_live(
+            request.target, request.incarnation
+        ):
             return Rejected(
                 ErrorCode.STALE_INCARNATION,
-                f"incarnation {ask.incarnation} of {ask.target} is not live",
+                f"incarnation {request.incarnation} of {request.target} is not live",
                 "choose another target",
             )
-        return self.claims.ask(ask)
+        return self.claims.acquire(request)
 
     def _announce(self, command: AnnounceReplica) -> None:
-        # One host has one replica: a new identity on it replaces the lost one
+        # A host runs one replica: a new identity on it replaces the lost one
         self.replicas = {
             known.replica: known
             for known in self.replicas.values()
@@ -292,12 +299,12 @@
         }
         self.replicas[command.replica] = command
 
-    def _note(self, change: _TargetChange) -> None:
+    def _record_target_change(self, change: _TargetChange) -> None:
         self.changed = change.index
         self._changes.append(change)
-        if len(self._changes) > CHANGES_KEPT:
+        if len(self._changes) > MAX_TARGET_CHANGES:
             self._floor = self._changes.popleft().index
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     pass
--- a/src/ibishead/control/submissions.py
+++ b/src/ibishead/control/submissions.py
@@ -1,7 +1,7 @@
-"""Accepted service documents and every submission's answer, as replicated state.
+"""Service documents and the results of submissions, as replicated state.
 
-A change is a compare-and-set on the revision that the operator edited. The answer
-to a submission is kept for ever, refusals included.
+A change is a compare-and-set on the revision that the operator edited. The result of
+a submission, including a refusal, is stored without expiry.
 """
 
 from hashlib import sha256
@@ -27,7 +27,8 @@
     """One accepted change in a service's history.
 
     :param accepted_at: POSIX seconds by the proposer's clock.
-    :param digest: SHA-256 of the text.
+    :param index: log index of the change.
+    :param digest: SHA-256 of the text, in hexadecimal.
     """
 
     revision: Revision
@@ -46,7 +47,7 @@
 
 
 class SavedDocuments(msgspec.Struct, frozen=True, array_like=True):
-    """The table as a snapshot holds it."""
+    """The table's form in snapshots."""
 
     documents: tuple[DocumentRecord, ...] = ()
     histories: tuple[tuple[ServiceName, tuple[Change, ...]], ...] = ()
@@ -54,7 +55,7 @@
 
 
 class DocumentTable:
-    """Documents by service, with their histories and the submissions' answers."""
+    """Documents by service, their histories, and the results of all submissions."""
 
     def __init__(self, saved: SavedDocuments | None = None) -> None:
         saved = saved or SavedDocuments()
@@ -65,58 +66,62 @@
         }
 
     def save(self) -> SavedDocuments:
-        """Return the table for a snapshot."""
+        """Return the table in the form that a snapshot stores."""
         return SavedDocuments(
             tuple(self.documents.values()),
-            tuple((name, tuple(held)) for name, held in self.histories.items()),
+            tuple((name, tuple(changes)) for name, changes in self.histories.items()),
             tuple(self._answers.values()),
         )
 
     def submit(self, index: LogIndex, command: SubmitDocument) -> Result:
-        """Apply a submission, or return the answer that it got before."""
+        """Apply a submission, or return its recorded result."""
         digest = _digest_submission(command)
         known = self._answers.get((command.team, command.submission))
-        # Failure: an operator's answer is lost, others change the document, the
-        # operator resends. Judged anew it would be refused, or applied a second
-        # time over the others' work. The first answer stands, however old it is.
+        # Failure: the answer to an operator is lost, others change the document, and
+        # the operator resends. Evaluated again, the submission would be refused, or
+        # applied a second time over the others' changes. The recorded result is final,
+        # however old it is.
         if known is not None:
             return known.result if known.digest == digest else _refuse_reuse(command)
-        result = self._judge(index, command)
+        result = self._evaluate(index, command)
         if isinstance(result, Accepted):
-            self._take(result, command)
+            self._apply_change(result, command)
         self._answers[command.team, command.submission] = _Answer(
             command.team, command.submission, digest, result
         )
         return result
 
     def list_changed(self, index: LogIndex) -> list[tuple[LogIndex, DocumentRecord]]:
-        """Return the documents changed after ``index``, with when, oldest first."""
+        """Return documents changed after ``index`` with the index of their last change.
+
+        The oldest change comes first.
+        """
         changed = (
             (self.histories[service][-1].index, record)
             for service, record in self.documents.items()
         )
         return sorted((item for item in changed if item[0] > index), key=itemgetter(0))
 
-    def _judge(
+    def _evaluate(
         self, index: LogIndex, command: SubmitDocument
     ) -> Accepted | StaleBase | Rejected:
-        held = self.documents.get(command.service)
-        if held is not None and held.team != command.team:
+        current = self.documents.get(command.service)
+        if current is not None and current.team != command.team:
             return Rejected(
                 ErrorCode.FORBIDDEN,
-                f"service {command.service} belongs to team {held.team}",
-                f"submit it as team {held.team}, or choose another service name",
+                f"service {command.service} belongs to team {current.team}",
+                f"submit it as team {current.team}, or choose another service name",
             )
-        newest = held.revision if held is not None else Revision(0)
-        # Failure: two operators edit the same revision. Without the comparison the
-        # later one would undo the earlier one's accepted change unseen.
+        newest = current.revision if current is not None else Revision(0)
+        # Failure: two operators edit the same revision. Without this comparison the
+        # later submission would silently revert the accepted change of the earlier one.
         if command.base != newest:
-            return _describe_winner(command.service, held)
+            return _make_stale_base(command.service, current)
         return Accepted(
             command.service, Revision(newest + 1), command.submission, index
         )
 
-    def _take(self, accepted: Accepted, command: SubmitDocument) -> None:
+    def _apply_change(self, accepted: Accepted, command: SubmitDocument) -> None:
         self.documents[command.service] = DocumentRecord(
             command.service,
             command.team,
@@ -137,15 +142,15 @@
         self.histories.setdefault(command.service, []).append(change)
 
 
-def _describe_winner(service: ServiceName, held: DocumentRecord | None) -> StaleBase:
-    if held is None:
+def _make_stale_base(service: ServiceName, current: DocumentRecord | None) -> StaleBase:
+    if current is None:
         return StaleBase(service, Revision(0), SubmissionId(""), "", 0.0)
     return StaleBase(
         service,
-        held.revision,
-        SubmissionId(held.submission),
-        held.operator,
-        held.accepted_at,
+        current.revision,
+        SubmissionId(current.submission),
+        current.operator,
+        current.accepted_at,
     )
 
 
@@ -157,6 +162,6 @@
 def _refuse_reuse(command: SubmitDocument) -> Rejected:
     return Rejected(
         ErrorCode.KEY_REUSED,
-        f"submission {command.submission} was another change",
-        "give each change a submission id of its own",
+        f"submission id {command.submission} was used for another change",
+        "use a new submission id for each change",
     )
--- a/src/ibishead/control/views.py
+++ b/src/ibishead/control/views.py
@@ -1,4 +1,4 @@
-"""What operators are shown of the control state, as JSON."""
+"""JSON documents of the operators' HTTP interface."""
 
 from datetime import UTC, datetime
 from typing import Any
@@ -25,7 +25,12 @@
 
 
 class Submitted(msgspec.Struct):
-    """A submission that is durable; ``/v1/in-force`` tells the rest."""
+    """Response to an accepted submission, sent once the change is durable.
+
+    ``/v1/in-force`` reports when the change is in force at all holders.
+
+    :param index: log index of the change.
+    """
 
     service: str
     revision: int
@@ -35,14 +40,18 @@
 
 
 class InForce(msgspec.Struct):
-    """Whether a change is in force, and which holders it hasn't reached."""
+    """Whether a change is in force, and the hosts that may not have applied it."""
 
     in_force: bool
     waiting_for: list[HostId]
 
 
 class Document(msgspec.Struct):
-    """A document at its newest revision."""
+    """A service document at its newest revision.
+
+    :param accepted_at: POSIX seconds by the proposer's clock.
+    :param text: text of the document, empty in a listing.
+    """
 
     service: str
     team: str
@@ -54,21 +63,31 @@
 
 
 class History(msgspec.Struct):
-    """All accepted changes of a service, oldest first."""
+    """All accepted changes of a service's document, oldest first."""
 
     service: str
     changes: list[dict[str, Any]]
 
 
 class Replacement(msgspec.Struct):
-    """Asks to replace a lost replica by a new one on a host."""
+    """Body of a request to replace a lost replica by a new one.
+
+    :param lost: the replica to remove, by its id or its name in the settings.
+    :param host: control host of the new replica.
+    """
 
     lost: str
     host: str
 
 
 class Status(msgspec.Struct):
-    """Where a replica stands."""
+    """Status of a replica.
+
+    :param index: log index of the last command that it has applied.
+    :param subscribers: number of subscribers that are linked to it.
+    :param claims: number of stored claims.
+    :param lease: remaining seconds of its lease on its state.
+    """
 
     replica: str
     leader: str
@@ -81,9 +100,9 @@
 
 
 def describe_document(record: DocumentRecord, text: bool = False) -> Document:
-    """Return what is shown of a document.
+    """Return the JSON view of a document.
 
-    :param text: with its text.
+    :param text: include the document's text.
     """
     return Document(
         record.service,
@@ -97,12 +116,15 @@
 
 
 def describe_change(change: Change) -> dict[str, Any]:
-    """Return what is shown of a change in a history."""
+    """Return the JSON view of a change in a history."""
     return msgspec.structs.asdict(change)
 
 
 def describe_conflict(stale: StaleBase, base: Revision) -> Conflict:
-    """Return the error that names the winner, when it won, and the remedy."""
+    """Return the error for a submission whose base is not the newest revision.
+
+    It names the newest revision, its operator and time, and the remedy.
+    """
     if stale.revision == 0:
         return Conflict(
             f"service {stale.service} has no revision {base}",
@@ -112,6 +134,6 @@
     return Conflict(
         f"base {base} is not the newest revision of {stale.service}: {stale.operator} "
         f"made revision {stale.revision} at {moment} by submission {stale.submission}",
-        f"read revision {stale.revision}, make the change on it, and submit it with "
+        f"read revision {stale.revision}, apply the change to it, and submit it with "
         f"base {stale.revision} and a new submission id",
     )
--- a/tests/control/running.py
+++ b/tests/control/running.py
@@ -1,4 +1,4 @@
-"""A control server in this process, and what a test asks of it."""
+"""Control servers in the test process, and clients for them."""
 
 import asyncio
 import json
@@ -17,14 +17,14 @@
 
 CLOCK = SystemClock()
 
-#: Polls after which a condition counts as never met, so that a fault fails a test
-#: instead of hanging it; it is far beyond what any condition takes.
-POLLS = 3000
+#: Polls after which a test fails instead of hanging on a condition that is never met.
+#: The number is far beyond what any condition takes.
+MAX_POLLS = 3000
 LOOPBACK = ListenSettings(Endpoint("127.0.0.1", 0))
 
 
 class Running:
-    """A server that listens."""
+    """A started control server with its endpoints."""
 
     def __init__(self, server: ControlServer, endpoints: Endpoints) -> None:
         self.server = server
@@ -82,11 +82,14 @@
 
 
 async def poll(pause: float = 0.01) -> AsyncIterator[None]:
-    """Yield again and again, and fail the test that never leaves the loop."""
-    for _ in range(POLLS):
+    """Yield repeatedly, and fail the test after `MAX_POLLS` iterations.
+
+    :param pause: seconds between two iterations.
+    """
+    for _ in range(MAX_POLLS):
         yield
         await asyncio.sleep(pause)
-    raise AssertionError("what the test waits for never came")
+    raise AssertionError("the condition was not met within the polling limit")
 
 
 async def wait_for(condition: Callable[[], bool]) -> None:
--- a/tests/control/support.py
+++ b/tests/control/support.py
@@ -1,4 +1,4 @@
-"""What the tests of the control program share."""
+"""Helpers of the control program's tests: commands, a log and test doubles."""
 
 from ibishead.control.commands import (
     ClaimRequest,
@@ -126,7 +126,7 @@
 
 
 class Log:
-    """Applies commands to a state at rising indices."""
+    """Applies commands to a state at increasing indices."""
 
     def __init__(self) -> None:
         self.state = ControlState()
@@ -137,19 +137,19 @@
         return decode_result(self.state.apply(self.index, encode_command(command)))
 
     def restart(self) -> None:
-        """Go on with a new state that was restored from a snapshot."""
+        """Replace the state by a new one, restored from its snapshot."""
         data = self.state.capture()
         self.state = ControlState()
         self.state.restore(data)
 
 
 class FakeReplica:
-    """A replica whose standing a test sets."""
+    """Replica whose role, lease and known leader a test sets."""
 
     def __init__(self, name: str, others: tuple[str, ...] = ()) -> None:
         self.name = ReplicaId(name)
         self.leading = False
-        self.vouched = 1.0
+        self.lease_seconds = 1.0
         self.known_leader: ReplicaId | None = None
         self.voters = (self.name, *map(ReplicaId, others))
 
@@ -163,14 +163,14 @@
         return ReplicaSet(self.voters)
 
     def lease(self) -> float:
-        return self.vouched
+        return self.lease_seconds
 
     async def confirm_read(self) -> None:
         pass
 
 
 class FakeLink:
-    """Keeps what is sent to a peer."""
+    """Link that records the messages sent to its peer."""
 
     def __init__(self, role: Role, host: str) -> None:
         self.peer = Hello(role, HostId(host))
--- a/tests/control/test_claims.py
+++ b/tests/control/test_claims.py
@@ -1,10 +1,10 @@
-"""A claim is granted once, and its outcome is kept and never worsened."""
+"""A claim is granted once; its recorded outcome is only replaced by a stronger one."""
 
 import pytest
 
 from ibishead.control.claims import (
-    MAX_ADVANCE,
-    MAX_ANSWER,
+    MAX_ADVANCE_SECONDS,
+    MAX_ANSWER_BYTES,
     PURGE_LIMIT,
     ClaimKey,
     ClaimTable,
@@ -35,19 +35,22 @@
     return log
 
 
-def ask(log: Log, request: str, **changes) -> ClaimAnswer:
+def request_claim(log: Log, request: str, **changes) -> ClaimAnswer:
     answer = log.apply(make_claim(request, changes.pop("incarnation", 1), **changes))
     assert isinstance(answer, ClaimAnswer), answer
     return answer
 
 
-def test_racing_entries_get_one_grant():
-    """A caller retries through another entry while its first try still runs."""
+def test_concurrent_requesters_get_one_grant():
+    """A caller retries through another entry host while the first attempt still runs.
+
+    A second grant would run the request twice.
+    """
     log = start_log()
-    assert ask(log, "r1").state is ClaimState.GRANTED
-    other = ask(log, "r2")
+    assert request_claim(log, "r1").state is ClaimState.GRANTED
+    other = request_claim(log, "r2")
     assert (other.state, other.holder) == (ClaimState.RUNNING, "r1")
-    again = ask(log, "r1")
+    again = request_claim(log, "r1")
     assert (again.state, again.generation) == (ClaimState.GRANTED, 1)
 
 
@@ -59,11 +62,11 @@
         ({"key": "k2"}, ClaimState.GRANTED),
     ],
 )
-def test_what_a_claim_is_keyed_by(changes, state):
+def test_claim_key_and_digest(changes, state):
     log = start_log()
-    ask(log, "r1")
+    request_claim(log, "r1")
     log.apply(make_settlement("r1", Outcome.COMPLETED))
-    answer = ask(log, "r2", **changes)
+    answer = request_claim(log, "r2", **changes)
     assert answer.state is state
     assert answer.answer_body == b""
 
@@ -80,41 +83,47 @@
         ([Outcome.COMPLETED, Outcome.UNKNOWN], ClaimState.COMPLETED, 1),
     ],
 )
-def test_next_asker_by_outcome(outcomes, state, generation):
+def test_next_requester_by_outcome(outcomes, state, generation):
     log = start_log()
-    ask(log, "r1")
+    request_claim(log, "r1")
     for outcome in outcomes:
         log.apply(make_settlement("r1", outcome))
     log.restart()
-    answer = ask(log, "r2")
+    answer = request_claim(log, "r2")
     assert (answer.state, answer.generation) == (state, generation)
     if state is ClaimState.COMPLETED:
         assert (answer.answer_status, answer.answer_body) == (200, b"issued")
 
 
-def test_late_proof_of_an_earlier_generation():
-    """The proof that attempt 1 did not run is delivered twice, late."""
+def test_delayed_proof_of_earlier_generation():
+    """The proof that attempt 1 did not run arrives again while attempt 2 runs.
+
+    Applied to attempt 2, it would let the request run twice.
+    """
     log = start_log()
-    ask(log, "r1")
+    request_claim(log, "r1")
     log.apply(make_settlement("r1", Outcome.NOT_RUN))
-    assert ask(log, "r1").generation == 2
+    assert request_claim(log, "r1").generation == 2
     log.apply(make_settlement("r1", Outcome.NOT_RUN, generation=1))
-    assert ask(log, "r2").state is ClaimState.RUNNING
+    assert request_claim(log, "r2").state is ClaimState.RUNNING
 
 
-def test_outcome_from_someone_else():
+def test_outcome_reported_by_non_holder():
     log = start_log()
-    ask(log, "r1")
+    request_claim(log, "r1")
     log.apply(make_settlement("r2", Outcome.NOT_RUN))
-    assert ask(log, "r2").state is ClaimState.RUNNING
+    assert request_claim(log, "r2").state is ClaimState.RUNNING
 
 
 @pytest.mark.parametrize("end", ["retire", "register"])
 @pytest.mark.parametrize("restart", [False, True])
-def test_target_is_lost_with_a_claim(end, restart):
-    """A target dies with a stock issue in progress, and the mender tries again."""
+def test_claim_of_lost_target_becomes_unknown(end, restart):
+    """A target is lost while a stock issue runs on it, and the caller retries.
+
+    The stock issue may have been executed, so the claim must not be granted again.
+    """
     log = start_log()
-    ask(log, "r1")
+    request_claim(log, "r1")
     if restart:
         log.restart()
     attachment = log.state.targets.members[TargetId("t1")].attachment
@@ -128,7 +137,7 @@
     assert answer.state is ClaimState.UNKNOWN
 
 
-def test_claim_for_an_ended_incarnation():
+def test_claim_for_ended_incarnation_is_rejected():
     log = start_log()
     log.apply(make_registration("n2"))
     answer = log.apply(make_claim("r1", 1))
@@ -136,11 +145,13 @@
     assert answer.code is ErrorCode.STALE_INCARNATION
 
 
-def test_large_answer_is_recorded_without_its_body():
+def test_large_answer_is_stored_without_body():
     log = start_log()
-    ask(log, "r1")
-    log.apply(make_settlement("r1", Outcome.COMPLETED, body=b"x" * (MAX_ANSWER + 1)))
-    answer = ask(log, "r2")
+    request_claim(log, "r1")
+    log.apply(
+        make_settlement("r1", Outcome.COMPLETED, body=b"x" * (MAX_ANSWER_BYTES + 1))
+    )
+    answer = request_claim(log, "r2")
     assert (answer.state, answer.answer_body) == (ClaimState.COMPLETED, b"")
 
 
@@ -150,12 +161,12 @@
     return step
 
 
-def test_retention_ends_and_purges_a_bounded_number():
+def test_expired_claims_are_purged_in_bounded_steps():
     log = start_log()
     for number in range(PURGE_LIMIT + 5):
-        ask(log, f"r{number}", key=f"k{number}", retention=30.0)
+        request_claim(log, f"r{number}", key=f"k{number}", retention=30.0)
         log.apply(make_settlement(f"r{number}", Outcome.COMPLETED, key=f"k{number}"))
-    advance(log, MAX_ADVANCE)
+    advance(log, MAX_ADVANCE_SECONDS)
     advance(log, 29.0)
     assert len(log.state.claims) == PURGE_LIMIT + 5
     advance(log, 2.0)
@@ -164,32 +175,35 @@
     assert len(log.state.claims) == 0
 
 
-def test_leap_of_the_leaders_clock():
-    """A leader was frozen for a year and measures its next step; or resends one."""
+def test_jump_of_leader_clock_is_bounded():
+    """A leader measures a step of a year after a freeze, and sends a step again.
+
+    Either would end retention periods early, and requests could run again.
+    """
     log = start_log()
-    ask(log, "r1", retention=1000.0)
+    request_claim(log, "r1", retention=1000.0)
     log.apply(make_settlement("r1", Outcome.COMPLETED))
-    leap = advance(log, 365 * 24 * 3600.0)
+    jump = advance(log, 365 * 24 * 3600.0)
     for _ in range(100):
-        log.apply(leap)
-    assert log.state.claims.time == MAX_ADVANCE
-    assert ask(log, "r2").state is ClaimState.COMPLETED
+        log.apply(jump)
+    assert log.state.claims.time == MAX_ADVANCE_SECONDS
+    assert request_claim(log, "r2").state is ClaimState.COMPLETED
 
 
-def test_unresolved_claim_becomes_unknown_before_it_is_forgotten():
+def test_unresolved_claim_becomes_unknown_before_deletion():
     log = start_log()
-    ask(log, "r1", retention=30.0)
-    advance(log, MAX_ADVANCE)
+    request_claim(log, "r1", retention=30.0)
+    advance(log, MAX_ADVANCE_SECONDS)
     advance(log, 31.0)
-    assert ask(log, "r2").state is ClaimState.UNKNOWN
+    assert request_claim(log, "r2").state is ClaimState.UNKNOWN
 
 
-def test_claims_restore_equal():
+def test_snapshot_round_trip():
     log = start_log()
     for number, outcome in enumerate(Outcome):
-        ask(log, f"r{number}", key=f"k{number}")
+        request_claim(log, f"r{number}", key=f"k{number}")
         log.apply(make_settlement(f"r{number}", outcome, key=f"k{number}"))
-    ask(log, "open", key="open")
+    request_claim(log, "open", key="open")
     saved = log.state.claims.save()
     assert ClaimTable(saved).save() == saved
     log.restart()
--- a/tests/control/test_granting.py
+++ b/tests/control/test_granting.py
@@ -92,7 +92,7 @@
     assert scene.agent_link.sent == [make_grant(1)]
 
 
-@pytest.mark.parametrize("lost", ["leading", "vouched"])
+@pytest.mark.parametrize("lost", ["leading", "lease_seconds"])
 async def test_leader_that_lost_its_quorum_grants_nothing(lost):
     """A partitioned old leader would grant beside its successor on the same store."""
     scene = Scene()
--- a/tests/control/test_operator_keys.py
+++ b/tests/control/test_operator_keys.py
@@ -1,4 +1,4 @@
-"""An operator's key reaches as far as its team's services and no further."""
+"""An operator's key gives access to the services of its team only."""
 
 import pytest
 from tests.control.lone import LoneReplica
@@ -18,26 +18,26 @@
 ADMIN, HALO, OTHER = "sk-admin", "sk-halo", "sk-other"
 
 
-def write_owned(service, team, key):
+def write_document_with_operator(service, team, key):
     operator = f"[operator:o]\nkey_sha256 = {hash_key(key)}\n"
     return write_document(service, team) + operator
 
 
-RAKTAR = write_owned("raktar", "halo", HALO)
-MESTER = write_owned("mester", "other", OTHER)
+RAKTAR = write_document_with_operator("raktar", "halo", HALO)
+MESTER = write_document_with_operator("mester", "other", OTHER)
 
 
-class LateReplica(LoneReplica):
-    """Hears of others' commands when a read is confirmed or a proposal is judged."""
+class LaggingReplica(LoneReplica):
+    """Applies others' commands only when it confirms a read or makes a proposal."""
 
     def __init__(self, name, machine):
         super().__init__(name, machine)
         self.machine = machine
-        self.unheard = []
+        self.unapplied = []
 
     async def confirm_read(self):
-        while self.unheard:
-            await super().propose(encode_command(self.unheard.pop(0)))
+        while self.unapplied:
+            await super().propose(encode_command(self.unapplied.pop(0)))
 
     async def propose(self, command):
         await self.confirm_read()
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 def replica():
-    return LateReplica(C1, ControlState())
+    return LaggingReplica(C1, ControlState())
 
 
 @pytest.fixture
@@ -66,12 +66,12 @@
     endpoints = await server.start()
     for service, text in (("raktar", RAKTAR), ("mester", MESTER)):
         target = f"/v1/documents/{service}?base=0&submission=first-{service}"
-        assert await ask(endpoints.operators, target, ADMIN, text) == 200
+        assert await post(endpoints.operators, target, ADMIN, text) == 200
     yield endpoints.operators
     await server.stop()
 
 
-async def ask(endpoint, target, key, text=""):
+async def post(endpoint, target, key, text=""):
     connection = await ClientConnection.open(endpoint)
     headers = (("authorization", f"Bearer {key}"),) if key else ()
     answer = await connection.ask("POST", target, headers, text.encode())
@@ -92,9 +92,9 @@
         (f"/v1/documents/raktar{CHANGE}", "sk-nobody", RAKTAR, 403),
         (f"/v1/documents/raktar{CHANGE}", hash_key(HALO), RAKTAR, 403),
         (f"/v1/documents/raktar{CHANGE}", "", RAKTAR, 401),
-        # Its own service, taken into another team
+        # The operator's own service, moved to another team
         (f"/v1/documents/raktar{CHANGE}", HALO, RAKTAR.replace("halo", "other"), 403),
-        # Another team's service under the name of its own
+        # Another team's document, submitted under the operator's own service
         (f"/v1/documents/raktar{CHANGE}", HALO, MESTER, 400),
         ("/v1/documents/fresh?base=0&submission=s2", HALO, RAKTAR, 403),
         ("/v1/targets/t1/drain", HALO, "", 403),
@@ -102,26 +102,29 @@
         ("/v1/replicas/replace", HALO, "{}", 403),
     ],
 )
-async def test_reach_of_a_key(operators, target, key, text, status, caplog):
-    assert await ask(operators, target, key, text) == status
+async def test_access_by_key(operators, target, key, text, status, caplog):
+    assert await post(operators, target, key, text) == status
     refused = [r for r in caplog.records if r.message == "key refused"]
     assert bool(refused) is (status in (401, 403) and "other" not in text)
     for secret in filter(None, (key, hash_key(key))):
         assert secret not in "".join(str(vars(record)) for record in caplog.records)
 
 
-async def test_key_that_a_change_takes_away_reaches_nothing_more(operators):
+async def test_revoked_key_loses_access(operators):
     target = "/v1/documents/raktar?base={}&submission=s{}"
     without = RAKTAR.replace(hash_key(HALO), hash_key("sk-new"))
-    assert await ask(operators, target.format(1, 2), HALO, without) == 200
-    assert await ask(operators, target.format(2, 3), HALO, RAKTAR) == 403
-    assert await ask(operators, target.format(2, 3), "sk-new", RAKTAR) == 200
+    assert await post(operators, target.format(1, 2), HALO, without) == 200
+    assert await post(operators, target.format(2, 3), HALO, RAKTAR) == 403
+    assert await post(operators, target.format(2, 3), "sk-new", RAKTAR) == 200
 
 
 @pytest.mark.parametrize("base", [2, 3])
-async def test_late_replica_gives_no_reach_back(operators, replica, base):
-    """An operator who has lost the key changes the document once more."""
+async def test_lagging_replica_does_not_accept_revoked_key(operators, replica, base):
+    """An operator with a revoked key submits a change at a lagging replica.
+
+    Checked against the old document, the key would restore its own access.
+    """
     without = RAKTAR.replace(hash_key(HALO), hash_key("sk-new"))
-    replica.unheard.append(make_submission("s2", 1, without))
+    replica.unapplied.append(make_submission("s2", 1, without))
     target = f"/v1/documents/raktar?base={base}&submission=s3"
-    assert await ask(operators, target, HALO, RAKTAR) == 403
+    assert await post(operators, target, HALO, RAKTAR) == 403
--- a/tests/control/test_state_machine.py
+++ b/tests/control/test_state_machine.py
@@ -1,8 +1,8 @@
-"""Racing operators, resends, several entries and restarts against a plain model.
+"""Model-based test of the replicated state.
 
 Two replicas apply the same log; one of them is restored from snapshots at any time.
-Operators hold old revisions and resend what they sent long ago; entries ask for the
-same claims, and report ends late and twice.
+Operators submit on old revisions and resend old submissions. Entry hosts request the
+same claims, and report outcomes late and repeatedly.
 """
 
 from hypothesis import settings
@@ -47,11 +47,12 @@
 
 KEYS = st.sampled_from(["k1", "k2", "k3"])
 
-#: Resends of the first agent's registration are most frequent: a new agent ends
-#: every claim that is open.
+#: Resends of the first agent's registration are the most frequent, as a new agent
+#: ends every open claim.
 NONCES = st.sampled_from([0, 0, 0, 0, 1, 2])
 
-#: Proofs that a request did not run are given most often, as they lead further.
+#: Proofs that a request did not run are the most frequent: they allow a new grant,
+#: while the other outcomes are final.
 OUTCOMES = (Outcome.NOT_RUN, Outcome.NOT_RUN, Outcome.COMPLETED, Outcome.UNKNOWN)
 
 
@@ -69,7 +70,7 @@
         self.proofs: set[tuple[str, int]] = set()
         self.granted: dict[tuple[str, int], str] = {}
         self.completed: set[str] = set()
-        self.seen: dict[int, int] = {}
+        self.last_revisions: dict[int, int] = {}
 
     @property
     def state(self) -> ControlState:
@@ -82,9 +83,9 @@
         assert len(results) == 1
         return decode_result(results.pop())
 
-    @rule(target=submissions, behind=st.integers(0, 3))
-    def submit(self, behind):
-        base = max(0, len(self.accepted) - behind)
+    @rule(target=submissions, revisions_behind=st.integers(0, 3))
+    def submit(self, revisions_behind):
+        base = max(0, len(self.accepted) - revisions_behind)
         name = f"s{len(self.answers)}"
         text = write_document(stall_weight=len(self.answers) / 1000)
         command = make_submission(name, base, text)
@@ -135,8 +136,8 @@
         return answer
 
     def note_grant(self, key: str, answer: ClaimAnswer) -> None:
-        # The first grant of a generation is a right to run; another one needs the
-        # proof that all before it did not run.
+        # A generation has one holder. A new generation needs the proof that the
+        # attempts of all earlier ones did not run.
         holder = self.granted.setdefault((key, answer.generation), answer.holder)
         assert holder == answer.holder == answer.request
         for generation in range(1, answer.generation):
@@ -183,7 +184,7 @@
             delta.gone,
             delta.whole,
         )
-        # A delta may come twice, over an old link and a new one
+        # A delta may arrive twice, over an old link and a new one
         catalog.apply(message)
         catalog.apply(message)
         held = catalog.find_document(RAKTAR)
@@ -199,12 +200,12 @@
         assert [change.submission for change in history] == self.accepted
 
     @invariant()
-    def revisions_only_rise(self):
+    def revisions_increase(self):
         for number, catalog in enumerate(self.catalogs):
             held = catalog.find_document(RAKTAR)
             revision = held.record.revision if held else 0
-            assert revision >= self.seen.get(number, 0)
-            self.seen[number] = revision
+            assert revision >= self.last_revisions.get(number, 0)
+            self.last_revisions[number] = revision
 
 
 TestControlState = ControlStateMachine.TestCase
--- a/tests/control/test_submissions.py
+++ b/tests/control/test_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions are compared and set, and answered the same for ever."""
+"""Submissions are compare-and-set operations with a final result each."""
 
 import msgspec
 import pytest
@@ -16,8 +16,11 @@
     return log.state.documents.documents[RAKTAR]
 
 
-def test_two_operators_with_the_same_base():
-    """Two operators edit revision 1 and submit at nearly the same time."""
+def test_concurrent_submissions_with_same_base():
+    """Two operators edit revision 1 and submit nearly at the same time.
+
+    The second submission must not silently revert the first.
+    """
     log = Log()
     log.apply(make_submission("s1", 0))
     won = log.apply(make_submission("s2", 1, "from anna", now=20.0))
@@ -28,8 +31,11 @@
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_resend_long_after_others_changed_the_document(restart):
-    """An operator's answer is lost; hundreds of changes later the tool resends."""
+def test_resend_after_many_changes(restart):
+    """The answer to a submission is lost, and the tool resends it 300 changes later.
+
+    The resend must neither be refused nor applied a second time.
+    """
     log = Log()
     first = log.apply(make_submission("s1", 0, "first"))
     for base in range(1, 301):
@@ -42,8 +48,11 @@
     assert len(log.state.documents.histories[RAKTAR]) == 301
 
 
-def test_refusal_is_kept_too():
-    """A submission on a revision to come is refused; its resend comes after it."""
+def test_refusal_is_final():
+    """A submission names a future base and is resent when that revision exists.
+
+    The recorded refusal must not change to an acceptance.
+    """
     log = Log()
     log.apply(make_submission("s1", 0))
     refused = log.apply(make_submission("s3", 2, "early"))
@@ -70,17 +79,20 @@
     assert find_document(log).revision == 1
 
 
-def test_poisoned_entry_doesnt_stop_the_replica():
-    """A log entry can't be decoded, on every replica and after every restart."""
+def test_invalid_entry_does_not_stop_replica():
+    """A log entry can't be decoded, on any replica and after any restart.
+
+    An exception would stop all replicas at this entry.
+    """
     log = Log()
-    for poison in (b"", b"\xff" * 9, b"\x80"):
+    for invalid in (b"", b"\xff" * 9, b"\x80"):
         log.index += 1
-        assert log.state.apply(log.index, poison)
+        assert log.state.apply(log.index, invalid)
     assert isinstance(log.apply(make_submission("s1", 0)), Accepted)
 
 
 def test_state_larger_than_a_frame_restores():
-    """After years of changes the state outgrows any message; replicas must restart."""
+    """The state grows beyond the size limit of a frame; replicas must still restart."""
     log = Log()
     text = "x" * 1024
     for number in range(20):
@@ -93,7 +105,7 @@
     assert log.state.capture() == before
 
 
-def test_deltas_and_whole_states():
+def test_deltas_and_full_state():
     log = Log()
     log.apply(make_submission("s1", 0))
     log.apply(make_submission("s2", 1, "newer"))
