--- a/src/ibishead/control/force.py
+++ b/src/ibishead/control/force.py
@@ -8,7 +8,7 @@
 
 from ibishead.clock import Clock
 from ibishead.control.machine import Replica
-from ibishead.control.publish import LEASE, Publisher
+from ibishead.control.publish import LEASE_SECONDS, Publisher
 from ibishead.control.relay import Relay
 from ibishead.control.state import ControlState
 from ibishead.ids import HostId, LogIndex, ReplicaId
@@ -21,7 +21,7 @@
 
 #: Seconds after which no holder can have a lease from a replica that hasn't applied
 #: a change: the replica's own lease ends first, then those that it gave.
-SURE_LIMIT = REPLICA_LEASE + LEASE
+SURE_LIMIT = REPLICA_LEASE + LEASE_SECONDS
 
 #: Changes whose moment is remembered; older ones were applied before the oldest.
 MOMENTS_KEPT = 1024
@@ -68,7 +68,7 @@
 
     async def find_waiting(self, index: LogIndex) -> list[HostId]:
         """Return the holders, or replicas, that the change is not known to be at."""
-        waiting = set(self._publisher.list_waiting(index))
+        waiting = set(self._publisher.list_lagging(index))
         self.note_replicas()
         for replica in list(self._members):
             if replica != self._name:
--- a/src/ibishead/control/publish.py
+++ b/src/ibishead/control/publish.py
@@ -1,7 +1,7 @@
-"""Documents and targets to subscribers, as deltas under a lease.
+"""Publication of documents and targets to subscribers, as deltas under a lease.
 
-Each replica serves the subscribers that are linked to it. It books until when each
-of them may act on what it holds, so that it can tell when a change is in force.
+Each replica serves the subscribers that are linked to it. It records until when each
+of them may act on the state it holds, to determine when a change is in force.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,26 +12,28 @@
 from ibishead.ids import HostId, LogIndex, ServiceName
 from ibishead.messages import Publish, ReportInForce, Subscribe
 
-__all__ = ["LEASE", "Publisher", "Subscriber"]
+__all__ = ["LEASE_SECONDS", "Publisher", "Subscriber"]
 
-#: Seconds for which a holder may act on its documents without hearing more. A
-#: leader is replaced in less, so that holders don't notice; it also bounds how long
-#: a silent holder delays that a change is in force.
-LEASE = 4.0
+#: Time for which a holder may act on its documents without a renewal. An election
+#: takes less, so that holders keep their leases through it. The value also bounds for
+#: how long a silent holder delays that a change is in force.
+LEASE_SECONDS = 4.0
 
-#: Seconds in which a holder must have applied what was sent, or its lease isn't
-#: renewed: one that hangs would otherwise delay every change for ever.
-APPLY_LIMIT = 2.0
+#: Time in which a holder must have applied what was sent, or its lease isn't renewed.
+#: Otherwise a holder that hangs would delay every change indefinitely.
+MAX_APPLY_SECONDS = 2.0
 
 
 @dataclass(eq=False)
 class Subscriber:
-    """One holder of documents on a live link.
-
-    :param index: where it stands once it has applied all that was sent.
-    :param reported: where it said that it stands.
-    :param number: of its last report.
-    :param behind_since: monotonic seconds of the oldest delta not reported, if any.
+    """A holder of documents that is linked to this replica.
+
+    :param index: log index that it reaches by applying all that was sent.
+    :param reported: log index that it has reported as applied.
+    :param number: number of its last report.
+    :param lease_until: monotonic seconds at which its lease ends at the latest.
+    :param behind_since: monotonic seconds at which the oldest delta that it hasn't
+        reported was sent, if there is one.
     """
 
     host: HostId
@@ -45,66 +47,74 @@
 
 
 @dataclass(frozen=True)
-class _Departed:
+class _FormerSubscriber:
     host: HostId
     reported: LogIndex
     lease_until: float
 
 
 @dataclass
-class _Deltas:
+class _DeltaCache:
     state: ControlState
-    known: dict[tuple[LogIndex, frozenset[ServiceName]], Delta] = field(
+    cached: dict[tuple[LogIndex, frozenset[ServiceName]], Delta] = field(
         default_factory=dict
     )
 
     def find(self, subscriber: Subscriber) -> Delta:
         key = (subscriber.index, subscriber.services)
-        if key not in self.known:
-            self.known[key] = self.state.collect(*key)
-        return self.known[key]
+        if key not in self.cached:
+            self.cached[key] = self.state.collect(*key)
+        return self.cached[key]
 
 
 class Publisher:
-    """The subscribers of one replica.
+    """Publishes state changes to the subscribers of one replica.
 
-    :param vouch: returns the seconds for which this replica vouches for its state.
+    :param get_lease: returns the remaining seconds of this replica's own lease.
     """
 
     def __init__(
-        self, state: ControlState, vouch: Callable[[], float], clock: Clock
+        self, state: ControlState, get_lease: Callable[[], float], clock: Clock
     ) -> None:
         self._state = state
-        self._vouch = vouch
+        self._get_lease = get_lease
         self._clock = clock
         self._subscribers: set[Subscriber] = set()
-        self._departed: list[_Departed] = []
+        self._former_subscribers: list[_FormerSubscriber] = []
 
     def __len__(self) -> int:
         return len(self._subscribers)
 
-    def subscribe(self, ask: Subscribe, send: Callable[[Publish], None]) -> Subscriber:
-        """Send what the asker is missing, and from now on every change."""
-        index = LogIndex(ask.index)
-        subscriber = Subscriber(ask.host, frozenset(ask.services), send, index, index)
+    def subscribe(
+        self, request: Subscribe, send: Callable[[Publish], None]
+    ) -> Subscriber:
+        """Add a subscriber, and send it the changes after the index that it holds."""
+        index = LogIndex(request.index)
+        subscriber = Subscriber(
+            request.host, frozenset(request.services), send, index, index
+        )
         self._subscribers.add(subscriber)
         self._send(subscriber, self._state.collect(index, subscriber.services))
         return subscriber
 
-    def leave(self, subscriber: Subscriber) -> None:
-        """Forget a holder whose link is over, but not the lease that it has."""
+    def unsubscribe(self, subscriber: Subscriber) -> None:
+        """Remove a subscriber whose link has closed, but remember its lease."""
         self._subscribers.discard(subscriber)
         now = self._clock.monotonic()
-        self._departed = [d for d in self._departed if d.lease_until > now]
+        self._former_subscribers = [
+            f for f in self._former_subscribers if f.lease_until > now
+        ]
         # Failure: a holder whose link broke acts on old documents until its lease
-        # runs out. A change that was called in force before would seem to revert.
+        # expires. A change reported as in force before that would appear to revert.
         if subscriber.lease_until > now:
-            self._departed.append(
-                _Departed(subscriber.host, subscriber.reported, subscriber.lease_until)
+            self._former_subscribers.append(
+                _FormerSubscriber(
+                    subscriber.host, subscriber.reported, subscriber.lease_until
+                )
             )
 
-    def report(self, subscriber: Subscriber, report: ReportInForce) -> None:
-        """Note where a holder stands, and renew its lease."""
+    def handle_report(self, subscriber: Subscriber, report: ReportInForce) -> None:
+        """Record the index that a holder has applied, and renew its lease."""
         subscriber.reported = LogIndex(max(subscriber.reported, report.index))
         subscriber.number = max(subscriber.number, report.number)
         if subscriber.reported >= subscriber.index:
@@ -114,40 +124,40 @@
         )
 
     def publish(self) -> None:
-        """Send all subscribers what has changed since they were last sent anything."""
-        deltas = _Deltas(self._state)
+        """Send every subscriber the changes since its last delta, if there are any."""
+        deltas = _DeltaCache(self._state)
         for subscriber in self._subscribers:
             delta = deltas.find(subscriber)
             if not delta.empty:
                 self._send(subscriber, delta)
 
-    def list_waiting(self, index: LogIndex) -> list[HostId]:
-        """Return the holders with a live lease that haven't applied ``index``."""
-        # Holders hear of what concerns them only, so none ever reports the index of
-        # a claim; they are current once they have the last change before it.
+    def list_lagging(self, index: LogIndex) -> list[HostId]:
+        """Return the holders with an unexpired lease that haven't applied ``index``."""
+        # Holders are sent only what concerns them, so none ever reports the index of a
+        # claim. They are current once they have the last published change before it.
         if index <= self._state.applied:
             index = min(index, self._state.changed)
         now = self._clock.monotonic()
-        holders: Iterable[Subscriber | _Departed] = (
+        holders: Iterable[Subscriber | _FormerSubscriber] = (
             *self._subscribers,
-            *self._departed,
+            *self._former_subscribers,
         )
-        waiting = {
+        lagging = {
             holder.host
             for holder in holders
             if holder.lease_until > now and holder.reported < index
         }
-        return sorted(waiting)
+        return sorted(lagging)
 
     def _send(self, subscriber: Subscriber, delta: Delta) -> None:
         now = self._clock.monotonic()
-        # A holder that lacks a part may still hold what was replaced
+        # A holder that lacks a part of the changes may still hold replaced documents
         lease = 0.0 if delta.partial else self._choose_lease(subscriber, now)
         if not delta.empty and subscriber.behind_since is None:
             subscriber.behind_since = now
         subscriber.index = delta.index
-        # The holder counts from when it sent its report, which was before now, so
-        # its lease ends before the one that is booked here.
+        # The holder counts its lease from when it sent its report, which was earlier,
+        # so that its lease ends before the one recorded here.
         subscriber.lease_until = max(subscriber.lease_until, now + lease)
         subscriber.send(
             Publish(
@@ -163,6 +173,6 @@
 
     def _choose_lease(self, subscriber: Subscriber, now: float) -> float:
         since = subscriber.behind_since
-        if since is not None and now - since > APPLY_LIMIT:
+        if since is not None and now - since > MAX_APPLY_SECONDS:
             return 0.0
-        return LEASE if self._vouch() > 0 else 0.0
+        return LEASE_SECONDS if self._get_lease() > 0 else 0.0
--- a/src/ibishead/control/relay.py
+++ b/src/ibishead/control/relay.py
@@ -1,7 +1,7 @@
-"""Links among the control replicas for questions that don't go through the log.
+"""Links among the control replicas for messages outside the replicated log.
 
 Each replica dials every other one that has announced itself. Over these links it
-asks who still holds old documents, and forwards permits to the leader.
+asks which holders lag behind a change, and forwards permit requests to the leader.
 """
 
 import asyncio
@@ -21,25 +21,25 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between tries to reach a replica.
-REDIAL_INTERVAL = 0.5
+#: Pause between two attempts to dial a replica.
+REDIAL_SECONDS = 0.5
 
-#: Seconds in which a live replica answers.
-ANSWER_LIMIT = 1.0
+#: Time in which a live replica answers.
+ANSWER_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(eq=False)
-class _Neighbour:
+class _Peer:
     endpoint: Endpoint
     task: asyncio.Task[None] | None = None
     link: Link | None = None
-    asked: dict[int, list[asyncio.Future[Holders]]] = field(default_factory=dict)
+    pending: dict[int, list[asyncio.Future[Holders]]] = field(default_factory=dict)
 
 
 class Relay:
-    """This replica's links to the others.
+    """This replica's links to the other replicas.
 
-    :param take_permit: called with each permit that the leader grants.
+    :param on_permit: called with each permit that the leader grants.
     """
 
     def __init__(
@@ -48,109 +48,115 @@
         state: ControlState,
         hello: Hello,
         clock: Clock,
-        take_permit: Callable[[PermitAnswer], None],
+        on_permit: Callable[[PermitAnswer], None],
         tls: ssl.SSLContext | None = None,
     ) -> None:
         self._name = name
         self._state = state
         self._hello = hello
         self._clock = clock
-        self._take_permit = take_permit
+        self._on_permit = on_permit
         self._tls = tls
-        self._neighbours: dict[ReplicaId, _Neighbour] = {}
+        self._peers: dict[ReplicaId, _Peer] = {}
 
-    def review(self) -> None:
-        """Dial replicas that have announced themselves, drop those that are gone."""
-        wanted = {
+    def update_links(self) -> None:
+        """Dial replicas that were announced, and disconnect those that were removed."""
+        endpoints = {
             known.replica: Endpoint(known.address, known.port)
             for known in self._state.replicas.values()
             if known.replica != self._name
         }
-        for name, neighbour in list(self._neighbours.items()):
-            if wanted.get(name) != neighbour.endpoint:
-                self._drop(name)
-        for name, endpoint in wanted.items():
-            if name not in self._neighbours:
-                neighbour = _Neighbour(endpoint)
-                neighbour.task = asyncio.create_task(self._keep(neighbour))
-                self._neighbours[name] = neighbour
-
-    def reaches(self, replica: ReplicaId) -> bool:
-        """Return whether a live link leads to the replica."""
-        neighbour = self._neighbours.get(replica)
-        return neighbour is not None and neighbour.link is not None
+        for name, peer in list(self._peers.items()):
+            if endpoints.get(name) != peer.endpoint:
+                self._disconnect(name)
+        for name, endpoint in endpoints.items():
+            if name not in self._peers:
+                peer = _Peer(endpoint)
+                peer.task = asyncio.create_task(self._maintain(peer))
+                self._peers[name] = peer
+
+    def is_connected(self, replica: ReplicaId) -> bool:
+        """Return whether there is an open link to the replica."""
+        peer = self._peers.get(replica)
+        return peer is not None and peer.link is not None
 
     def send(self, replica: ReplicaId, message: Message) -> bool:
-        """Send a message, and return whether a link leads there."""
-        neighbour = self._neighbours.get(replica)
-        if neighbour is None or neighbour.link is None:
+        """Send a message over an open link, and return whether there is one."""
+        peer = self._peers.get(replica)
+        if peer is None or peer.link is None:
             return False
-        neighbour.link.send(message)
+        peer.link.send(message)
         return True
 
     async def ask_holders(self, replica: ReplicaId, index: LogIndex) -> Holders | None:
-        """Return what a replica says of its holders, none if it can't be asked."""
+        """Ask a replica which of its holders lag behind ``index``.
+
+        :returns: the answer, or None if the replica can't be reached in time.
+        """
         if not self.send(replica, AskHolders(index)):
             return None
-        asked = self._neighbours[replica].asked.setdefault(index, [])
+        pending = self._peers[replica].pending.setdefault(index, [])
         future: asyncio.Future[Holders] = asyncio.get_running_loop().create_future()
-        asked.append(future)
+        pending.append(future)
         try:
-            async with asyncio.timeout(ANSWER_LIMIT):
+            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
                 return await future
         except (TimeoutError, LinkLost):
             return None
         finally:
-            if future in asked:
-                asked.remove(future)
+            if future in pending:
+                pending.remove(future)
 
     async def stop(self) -> None:
-        """Close all links."""
-        tasks = [n.task for n in self._neighbours.values() if n.task is not None]
-        for name in list(self._neighbours):
-            self._drop(name)
+        """Close all links and wait until they are closed."""
+        tasks = [p.task for p in self._peers.values() if p.task is not None]
+        for name in list(self._peers):
+            self._disconnect(name)
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _drop(self, name: ReplicaId) -> None:
-        task = self._neighbours.pop(name).task
+    def _disconnect(self, name: ReplicaId) -> None:
+        task = self._peers.pop(name).task
         if task is not None:
             task.cancel()
 
-    async def _keep(self, neighbour: _Neighbour) -> None:
+    async def _maintain(self, peer: _Peer) -> None:
         while True:
             try:
                 link = await dial(
-                    neighbour.endpoint, self._hello, self._clock, tls=self._tls
+                    peer.endpoint, self._hello, self._clock, tls=self._tls
                 )
             except LinkLost as error:
-                logger.debug("replica not reached", extra={"reason": error.message})
+                logger.debug(
+                    "could not connect to a control replica",
+                    extra={"reason": error.message},
+                )
             else:
-                await self._follow(neighbour, link)
-            await asyncio.sleep(REDIAL_INTERVAL)
+                await self._receive(peer, link)
+            await asyncio.sleep(REDIAL_SECONDS)
 
-    async def _follow(self, neighbour: _Neighbour, link: Link) -> None:
-        neighbour.link = link
+    async def _receive(self, peer: _Peer, link: Link) -> None:
+        peer.link = link
         try:
             async for message in link.receive():
-                self._take(neighbour, message)
+                self._handle(peer, message)
         finally:
-            neighbour.link = None
-            for futures in neighbour.asked.values():
+            peer.link = None
+            for futures in peer.pending.values():
                 for future in futures:
                     if not future.done():
-                        future.set_exception(_describe_lost())
-            neighbour.asked.clear()
+                        future.set_exception(_make_link_lost())
+            peer.pending.clear()
             await link.close()
 
-    def _take(self, neighbour: _Neighbour, message: Message) -> None:
+    def _handle(self, peer: _Peer, message: Message) -> None:
         match message:
             case Holders(index):
-                for future in neighbour.asked.pop(index, ()):
+                for future in peer.pending.pop(index, ()):
                     if not future.done():
                         future.set_result(message)
             case PermitAnswer():
-                self._take_permit(message)
+                self._on_permit(message)
 
 
-def _describe_lost() -> LinkLost:
-    return LinkLost("the link to a replica broke", "ask again")
+def _make_link_lost() -> LinkLost:
+    return LinkLost("the link to a control replica closed", "send the request again")
--- a/src/ibishead/control/service.py
+++ b/src/ibishead/control/service.py
@@ -1,4 +1,4 @@
-"""The link side of a control replica: what entries and agents ask of it."""
+"""Service of a control replica to entry hosts and agents, over links."""
 
 import asyncio
 import logging
@@ -50,45 +50,45 @@
 
 logger = logging.getLogger(__name__)
 
-#: Asks in progress on one link; a peer that floods is refused, not queued.
-MAX_ASKS = 1024
+#: Requests in progress on one link; more are refused, not queued.
+MAX_REQUESTS_PER_LINK = 1024
 
-#: Seconds in which a command whose answer was lost is proposed again.
-RETRY_LIMIT = 3.0
-RETRY_PAUSE = 0.05
+#: Time during which a command whose result was lost is proposed again.
+RETRY_TIMEOUT_SECONDS = 3.0
+RETRY_PAUSE_SECONDS = 0.05
 
-_Ask: TypeAlias = AskRegistration | AskClaim | ResolveClaim
+_Request: TypeAlias = AskRegistration | AskClaim | ResolveClaim
 _Answer = TypeVar("_Answer", ClaimAnswer, Refusal)
 
 
 async def propose_command(replica: Replica, clock: Clock, command: Command) -> Result:
-    """Propose a command until its result is known.
+    """Propose a command, repeatedly if needed, and return its result.
 
-    Commands are idempotent, so a lost answer is asked for again.
+    Commands are idempotent, so a command whose result was lost is proposed again.
 
-    :raises Unavailable: no quorum, or no answer in time.
+    :raises Unavailable: no quorum, or no result within `RETRY_TIMEOUT_SECONDS`.
     """
-    give_up = clock.monotonic() + RETRY_LIMIT
+    deadline = clock.monotonic() + RETRY_TIMEOUT_SECONDS
     while True:
         try:
             return decode_result(await replica.propose(encode_command(command)))
         except (LinkLost, Unavailable) as error:
-            lost = isinstance(error, LinkLost)
-            if not lost and error.code is not ErrorCode.OUTCOME_UNKNOWN:
+            is_link_lost = isinstance(error, LinkLost)
+            if not is_link_lost and error.code is not ErrorCode.OUTCOME_UNKNOWN:
                 raise
-            if clock.monotonic() >= give_up:
+            if clock.monotonic() >= deadline:
                 raise Unavailable(
-                    "the quorum hasn't answered in time",
-                    "ask again",
+                    "no quorum of control replicas answered in time",
+                    "send the request again",
                     code=ErrorCode.OUTCOME_UNKNOWN,
                 ) from error
-        await asyncio.sleep(RETRY_PAUSE)
+        await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
 
 class ControlService:
     """Serves the links of one replica.
 
-    :param name: this replica, which the targets linked here are attached to.
+    :param name: identity of this replica, to which targets linked here are attached.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def serve(self, link: Link) -> None:
-        """Answer a peer until its link is over."""
+        """Handle the messages of a peer until its link closes."""
         session = _Session(link)
         self._sessions.add(session)
         if link.peer.role is Role.AGENT and link.peer.incarnation:
@@ -120,45 +120,45 @@
                 self._handle(session, message)
         finally:
             if session.subscriber is not None:
-                self._publisher.leave(session.subscriber)
+                self._publisher.unsubscribe(session.subscriber)
             self._sessions.discard(session)
 
     def list_attached(self) -> set[tuple[TargetId, LogIndex]]:
         """Return the targets whose agents are linked here, with their attachments."""
         return {
-            (target, held.attachment)
+            (target, attached.attachment)
             for session in self._sessions
-            for target, held in session.attached.items()
+            for target, attached in session.attached.items()
         }
 
-    async def attach_again(self) -> None:
-        """Attach targets whose agents are linked here, yet count as linked elsewhere.
+    async def reattach_targets(self) -> None:
+        """Attach targets whose agents are linked here but attached to another replica.
 
-        Failure: an agent has moved here, and its registration over its former link
-        is committed late. Whoever it is attached to now would find it gone and retire
-        it, though it serves.
+        Failure: an agent has connected here, and its registration over its former
+        link is committed late. The replica that it is attached to by that would find
+        no link of the agent and retire the target, though it is serving.
 
         :raises Unavailable: there is no quorum.
         """
         for session in list(self._sessions):
-            for target, held in list(session.attached.items()):
+            for target, attached in list(session.attached.items()):
                 member = self._state.targets.members.get(target)
-                if member is None or member.record.incarnation != held.incarnation:
+                if member is None or member.record.incarnation != attached.incarnation:
                     continue
-                seen = (target, member.attachment) in self.list_attached()
-                if not seen and member.attachment > held.attachment:
-                    await self._attach(session, held.incarnation)
+                is_current = (target, member.attachment) in self.list_attached()
+                if not is_current and member.attachment > attached.attachment:
+                    await self._attach(session, attached.incarnation)
 
-    async def drop_links(self) -> None:
-        """Close entries' and agents' links, so that they move on to another replica.
+    async def close_client_links(self) -> None:
+        """Close the links of entry hosts and agents, so that they dial other replicas.
 
-        Those of the other replicas stay: over them the quorum may be found again.
+        Links of other replicas stay open, as the quorum may be regained over them.
         """
         links = [s.link for s in self._sessions if s.link.peer.role is not Role.CONTROL]
         await asyncio.gather(*(link.close() for link in links))
 
     async def stop(self) -> None:
-        """End what is still in progress."""
+        """Cancel the requests in progress."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -167,13 +167,13 @@
         match message:
             case Subscribe():
                 if session.subscriber is not None:
-                    self._publisher.leave(session.subscriber)
+                    self._publisher.unsubscribe(session.subscriber)
                 session.subscriber = self._publisher.subscribe(
                     message, session.link.send
                 )
             case ReportInForce():
                 if session.subscriber is not None:
-                    self._publisher.report(session.subscriber, message)
+                    self._publisher.handle_report(session.subscriber, message)
             case PeerFrame() if session.link.peer.role is Role.CONTROL:
                 self._replica.take_frame(message)
             case AskPermit():
@@ -181,10 +181,10 @@
             case ReleasePermit():
                 self._permits.release(session.link, message)
             case AskHolders(index):
-                waiting = self._publisher.list_waiting(LogIndex(index))
+                waiting = self._publisher.list_lagging(LogIndex(index))
                 session.link.send(Holders(index, self._state.applied, tuple(waiting)))
             case AskRegistration() | AskClaim() | ResolveClaim():
-                self._accept(session, message)
+                self._accept_request(session, message)
             case _:
                 logger.warning(
                     "unexpected message",
@@ -194,44 +194,47 @@
                     },
                 )
 
-    def _accept(self, session: "_Session", ask: _Ask) -> None:
-        # A peer that sends faster than the log commits would pile up memory here
-        if session.asks >= MAX_ASKS:
+    def _accept_request(self, session: "_Session", request: _Request) -> None:
+        # A peer that sends faster than the log commits would exhaust the memory
+        if session.in_progress >= MAX_REQUESTS_PER_LINK:
             refusal = Refusal(
-                _name_subject(ask), ErrorCode.OVERLOADED, "too many asks at once", 1.0
+                _get_subject(request),
+                ErrorCode.OVERLOADED,
+                "too many requests in progress on this link",
+                1.0,
             )
-            session.link.send(_number(refusal, ask))
+            session.link.send(_copy_number(refusal, request))
             return
-        session.asks += 1
-        self._spawn(self._answer(session, ask))
+        session.in_progress += 1
+        self._spawn(self._answer(session, request))
 
-    async def _answer(self, session: "_Session", ask: _Ask) -> None:
+    async def _answer(self, session: "_Session", request: _Request) -> None:
         try:
-            match ask:
+            match request:
                 case AskRegistration():
-                    command: Command = RegisterTarget(ask, self._name)
+                    command: Command = RegisterTarget(request, self._name)
                 case AskClaim():
-                    command = ClaimRequest(ask)
+                    command = ClaimRequest(request)
                 case ResolveClaim():
-                    command = SettleClaim(ask)
+                    command = SettleClaim(request)
             result = await propose_command(self._replica, self._clock, command)
         except IbisheadError as error:
-            refusal = self._refuse(_name_subject(ask), error)
-            session.link.send(_number(refusal, ask))
+            refusal = self._make_refusal(_get_subject(request), error)
+            session.link.send(_copy_number(refusal, request))
             return
         finally:
-            session.asks -= 1
+            session.in_progress -= 1
         match result:
             case ClaimAnswer():
-                session.link.send(_number(result, ask))
-            case Registered() if isinstance(ask, AskRegistration):
+                session.link.send(_copy_number(result, request))
+            case Registered() if isinstance(request, AskRegistration):
                 session.link.send(
-                    Registration(ask.nonce, ask.target, result.incarnation)
+                    Registration(request.nonce, request.target, result.incarnation)
                 )
-                session.attached[ask.target] = result
+                session.attached[request.target] = result
             case Rejected(code, message, remedy):
-                refusal = Refusal(_name_subject(ask), code, f"{message}; {remedy}")
-                session.link.send(_number(refusal, ask))
+                refusal = Refusal(_get_subject(request), code, f"{message}; {remedy}")
+                session.link.send(_copy_number(refusal, request))
 
     async def _attach(self, session: "_Session", incarnation: Incarnation) -> None:
         target = self._find_target(incarnation)
@@ -241,7 +244,7 @@
         try:
             result = await propose_command(self._replica, self._clock, command)
         except IbisheadError as error:
-            session.link.send(self._refuse(str(incarnation), error))
+            session.link.send(self._make_refusal(str(incarnation), error))
             return
         match result:
             case Registered():
@@ -257,7 +260,7 @@
                 return target
         return None
 
-    def _refuse(self, subject: str, error: IbisheadError) -> Refusal:
+    def _make_refusal(self, subject: str, error: IbisheadError) -> Refusal:
         wait = error.retry_after.total_seconds() if error.retry_after else 0.0
         leader = self._replica.leader() or ReplicaId("")
         return Refusal(subject, error.code, str(error), wait, leader)
@@ -273,15 +276,15 @@
     link: Link
     subscriber: Subscriber | None = None
     attached: dict[TargetId, Registered] = field(default_factory=dict)
-    asks: int = 0
+    in_progress: int = 0
 
 
-def _name_subject(ask: _Ask) -> str:
-    return ask.nonce if isinstance(ask, AskRegistration) else ask.request
+def _get_subject(request: _Request) -> str:
+    return request.nonce if isinstance(request, AskRegistration) else request.request
 
 
-def _number(answer: _Answer, ask: _Ask) -> _Answer:
-    """Return the answer with the number of the ask, for its sender to match."""
-    if isinstance(ask, AskRegistration):
+def _copy_number(answer: _Answer, request: _Request) -> _Answer:
+    """Return the answer with the number of the request, which its sender matches."""
+    if isinstance(request, AskRegistration):
         return answer
-    return msgspec.structs.replace(answer, question=ask.question)
+    return msgspec.structs.replace(answer, question=request.question)
--- a/src/ibishead/control/upkeep.py
+++ b/src/ibishead/control/upkeep.py
@@ -1,4 +1,4 @@
-"""What a replica does by the clock: announce itself, retire targets, move time."""
+"""Periodic work of a replica: announce itself, retire targets, advance the time."""
 
 import asyncio
 import logging
@@ -25,22 +25,22 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between rounds; a small part of the limits that are watched.
-ROUND_INTERVAL = 0.25
+#: Time between two rounds; a small part of the time-outs that they check.
+ROUND_SECONDS = 0.25
 
-#: Seconds between the leader's steps of the claims' time.
-TIME_INTERVAL = 10.0
+#: Time between the leader's steps of the claims' replicated time.
+TIME_STEP_SECONDS = 10.0
 
-#: Seconds without a lease after which peers are sent to other replicas. Longer than
-#: an election, so that a change of leader breaks no links; short enough that agents
-#: attach elsewhere before the leader takes them for dead.
-LEASE_GRACE = 2.0
+#: Time without a lease after which clients are made to connect to other replicas. It
+#: is longer than an election, so that a change of leader closes no links, and short
+#: enough that agents attach elsewhere before the leader retires their targets.
+LEASE_GRACE_SECONDS = 2.0
 
 
 class Upkeep:
-    """Runs one replica's rounds.
+    """Runs the periodic work of one replica.
 
-    :param announcement: returns where this replica serves links.
+    :param announcement: returns this replica's announcement with its link endpoint.
     """
 
     def __init__(
@@ -62,74 +62,80 @@
         self._relay = relay
         self._force = force
         self._clock = clock
-        self._watch = OrphanWatch()
-        self._counted_to = self._leased_at = clock.monotonic()
+        self._orphan_watch = OrphanWatch()
+        self._time_step_start = self._last_leased = clock.monotonic()
 
     async def run(self) -> None:
-        """Do rounds until cancelled."""
+        """Run a round at each interval until cancelled."""
         while True:
             try:
-                await self.do_round()
+                await self.run_round()
             except IbisheadError as error:
-                # Without a quorum nothing is due; the next round tries again
-                logger.debug("round not finished", extra={"reason": error.message})
+                # There is no quorum to propose to; the next round tries again
+                logger.debug(
+                    "periodic work not finished", extra={"reason": error.message}
+                )
             except Exception:
-                # Rounds that end for good would leave dead targets in every view
-                logger.exception("round failed")
-            await asyncio.sleep(ROUND_INTERVAL)
+                # If this loop ended, lost targets would never be retired
+                logger.exception("periodic work failed")
+            await asyncio.sleep(ROUND_SECONDS)
 
-    async def do_round(self) -> None:
-        """Do all that is due.
+    async def run_round(self) -> None:
+        """Do all work that is due.
 
-        :raises Unavailable: there is no quorum for it.
+        :raises Unavailable: there is no quorum for a command.
         """
         now = self._clock.monotonic()
-        self._relay.review()
+        self._relay.update_links()
         self._force.note_replicas()
         if self._replica.lease() > 0:
-            self._leased_at = now
-        elif now - self._leased_at > LEASE_GRACE:
-            # Failure: this replica is cut off; its agents would be taken for dead
-            # and its entries refuse work, though other replicas could serve them.
-            self._leased_at = now
-            await self._service.drop_links()
+            self._last_leased = now
+        elif now - self._last_leased > LEASE_GRACE_SECONDS:
+            # Failure: this replica is partitioned. Its agents' targets would be retired
+            # and its entry hosts refuse requests, though other replicas could serve
+            # them.
+            self._last_leased = now
+            await self._service.close_client_links()
             return
         await self._permits.update_leadership()
         await self._announce()
-        await self._service.attach_again()
-        for command in self._list_due(now):
+        await self._service.reattach_targets()
+        for command in self._list_retirements(now):
             await self._propose(command)
-            logger.info("target is gone", extra={"target": command.target})
+            logger.info(
+                "target retired: its agent is not linked to any replica",
+                extra={"target": command.target},
+            )
         await self._advance_time(now)
 
     async def _announce(self) -> None:
         announcement = self._announcement()
-        known = self._state.replicas.get(announcement.replica)
-        if known != announcement:
+        published = self._state.replicas.get(announcement.replica)
+        if published != announcement:
             await self._propose(announcement)
 
     async def _advance_time(self, now: float) -> None:
         claims = self._state.claims
         if not self._replica.is_leader() or not len(claims):
-            self._counted_to = now
-        elif (elapsed := now - self._counted_to) >= TIME_INTERVAL:
-            self._counted_to = now
+            self._time_step_start = now
+        elif (elapsed := now - self._time_step_start) >= TIME_STEP_SECONDS:
+            self._time_step_start = now
             await self._propose(AdvanceTime(claims.time, elapsed))
 
-    def _list_due(self, now: float) -> list[RetireTarget]:
+    def _list_retirements(self, now: float) -> list[RetireTarget]:
         own = self._announcement().replica
-        leads = self._replica.is_leader()
+        is_leader = self._replica.is_leader()
         attached = self._service.list_attached()
 
-        def is_watched(member: Member) -> bool:
+        def is_linked(member: Member) -> bool:
             if member.replica == own:
                 return (member.record.target, member.attachment) in attached
-            # Failure: a replica dies with targets attached to it, and nobody else
-            # would notice that they are gone.
-            return not leads or self._relay.reaches(member.replica)
+            # Failure: a replica crashes with targets attached to it, and no other one
+            # would retire those that are lost.
+            return not is_leader or self._relay.is_connected(member.replica)
 
         members = self._state.targets.members.values()
-        return self._watch.sweep(members, is_watched, now)
+        return self._orphan_watch.sweep(members, is_linked, now)
 
     async def _propose(self, command: Command) -> None:
         await propose_command(self._replica, self._clock, command)
--- a/tests/control/test_publish.py
+++ b/tests/control/test_publish.py
@@ -1,12 +1,12 @@
-"""Subscribers get deltas under leases, and lagging holders are known."""
+"""Subscribers get deltas under leases, and lagging holders are listed."""
 
 import msgspec
 import pytest
 
 from ibishead.catalog import Catalog
 from ibishead.clock import ManualClock
-from ibishead.control.publish import APPLY_LIMIT, LEASE, Publisher
-from ibishead.control.state import MAX_DELTA
+from ibishead.control.publish import LEASE_SECONDS, MAX_APPLY_SECONDS, Publisher
+from ibishead.control.state import MAX_DELTA_CHARACTERS
 from ibishead.ids import HostId, LogIndex
 from ibishead.messages import Publish, ReportInForce, Role, Subscribe
 
@@ -14,18 +14,20 @@
 
 
 class Scene:
-    """A publisher on a log, and the messages that its holders were sent."""
+    """A publisher on a log, and the messages that it has sent."""
 
     def __init__(self) -> None:
         self.log = Log()
         self.clock = ManualClock()
-        self.vouched = 1.0
-        self.publisher = Publisher(self.log.state, lambda: self.vouched, self.clock)
+        self.replica_lease = 1.0
+        self.publisher = Publisher(
+            self.log.state, lambda: self.replica_lease, self.clock
+        )
         self.sent: list[Publish] = []
 
     def subscribe(self, host: str, index: int = 0):
-        ask = Subscribe(HostId(host), Role.ENTRY, index)
-        return self.publisher.subscribe(ask, self.sent.append)
+        request = Subscribe(HostId(host), Role.ENTRY, index)
+        return self.publisher.subscribe(request, self.sent.append)
 
     def submit(self, base: int) -> LogIndex:
         self.log.apply(make_submission(f"s{base}", base, write_document()))
@@ -34,37 +36,43 @@
 
     def report(self, subscriber, index: int, number: int) -> None:
         message = ReportInForce(subscriber.host, index, number)
-        self.publisher.report(subscriber, message)
+        self.publisher.handle_report(subscriber, message)
 
 
-def test_change_is_in_force_once_all_holders_reported_it():
+def test_change_is_in_force_after_all_reports():
     scene = Scene()
     first, second = scene.subscribe("e1"), scene.subscribe("e2")
     index = scene.submit(0)
-    assert scene.publisher.list_waiting(index) == ["e1", "e2"]
+    assert scene.publisher.list_lagging(index) == ["e1", "e2"]
     scene.report(first, index, 1)
-    assert scene.publisher.list_waiting(index) == ["e2"]
+    assert scene.publisher.list_lagging(index) == ["e2"]
     scene.report(second, index, 1)
-    assert scene.publisher.list_waiting(index) == []
+    assert scene.publisher.list_lagging(index) == []
 
 
-@pytest.mark.parametrize("leaves", [False, True])
-def test_silent_holder_counts_until_its_lease_is_over(leaves):
-    """An entry's link goes silent while it acts on the old document."""
+@pytest.mark.parametrize("link_closed", [False, True])
+def test_silent_holder_lags_until_its_lease_expires(link_closed):
+    """An entry host is cut off and acts on the old document until its lease expires.
+
+    Until then the change must not be reported as in force.
+    """
     scene = Scene()
     subscriber = scene.subscribe("e1")
     index = scene.submit(0)
-    if leaves:
-        scene.publisher.leave(subscriber)
+    if link_closed:
+        scene.publisher.unsubscribe(subscriber)
     last = scene.sent[-1]
     scene.clock.step(last.lease - 0.1)
-    assert scene.publisher.list_waiting(index) == ["e1"]
+    assert scene.publisher.list_lagging(index) == ["e1"]
     scene.clock.step(0.2)
-    assert scene.publisher.list_waiting(index) == []
+    assert scene.publisher.list_lagging(index) == []
+
 
+def test_hanging_holder_loses_its_lease():
+    """An entry host responds and reports, but never applies a change.
 
-def test_holder_that_hangs_loses_its_lease():
-    """An entry answers heartbeats and reports, yet never applies a change."""
+    With a renewed lease it would delay every change indefinitely.
+    """
     scene = Scene()
     subscriber = scene.subscribe("e1")
     index = scene.submit(0)
@@ -72,23 +80,26 @@
         scene.clock.step(0.5)
         scene.report(subscriber, 0, number)
     assert scene.sent[-1].lease == 0.0
-    assert APPLY_LIMIT + LEASE < 19 * 0.5
-    assert scene.publisher.list_waiting(index) == []
+    assert MAX_APPLY_SECONDS + LEASE_SECONDS < 19 * 0.5
+    assert scene.publisher.list_lagging(index) == []
     scene.report(subscriber, index, 20)
-    assert scene.sent[-1].lease == LEASE
+    assert scene.sent[-1].lease == LEASE_SECONDS
 
 
-def test_replica_without_a_lease_gives_none():
-    """A replica that lost its leader must not keep its holders on old documents."""
+def test_replica_without_lease_grants_none():
+    """A replica that lost its leader must not let its holders act on old documents."""
     scene = Scene()
     subscriber = scene.subscribe("e1")
-    scene.vouched = 0.0
+    scene.replica_lease = 0.0
     scene.report(subscriber, 0, 1)
     assert scene.sent[-1].lease == 0.0
 
 
-def test_lease_answers_the_newest_report():
-    """A holder counts its lease from the report that is answered."""
+def test_lease_refers_to_newest_report():
+    """A lease names the newest report, from whose sending the holder counts it.
+
+    Counted from a later moment, the lease would outlast what the replica recorded.
+    """
     scene = Scene()
     subscriber = scene.subscribe("e1")
     scene.report(subscriber, 0, 7)
@@ -98,25 +109,32 @@
     catalog = Catalog()
     catalog.note_report(7, 100.0)
     catalog.renew(scene.sent[-1], 110.0)
-    assert not catalog.is_current(100.0 + LEASE)
+    assert not catalog.is_current(100.0 + LEASE_SECONDS)
 
 
-def test_lagging_replica_counts_its_holders():
-    """A replica is asked for an index that it hasn't applied itself."""
+def test_lagging_replica_lists_its_holders():
+    """A replica is queried for an index that it hasn't applied itself.
+
+    Its holders can't have applied the index either and must be listed.
+    """
     scene = Scene()
     index = scene.submit(0)
     subscriber = scene.subscribe("e1")
     scene.report(subscriber, index, 1)
-    assert scene.publisher.list_waiting(index) == []
-    assert scene.publisher.list_waiting(LogIndex(index + 1)) == ["e1"]
+    assert scene.publisher.list_lagging(index) == []
+    assert scene.publisher.list_lagging(LogIndex(index + 1)) == ["e1"]
+
 
+def test_large_documents_are_split_and_lease_comes_last():
+    """An entry host reconnects and lacks documents that together exceed a frame.
 
-def test_large_documents_come_in_parts_and_the_lease_last():
-    """Documents together are larger than a frame; a cut-off entry comes back."""
+    Sent in one message they would break the link each time. A holder of some of the
+    parts may still act on replaced documents, so only the last part has a lease.
+    """
     scene = Scene()
     services = ["raktar", "bolt", "posta"]
     for number, service in enumerate(services):
-        text = write_document(service) + "#" * (MAX_DELTA - 1000)
+        text = write_document(service) + "#" * (MAX_DELTA_CHARACTERS - 1000)
         command = make_submission(f"s{number}", 0, text)
         scene.log.apply(msgspec.structs.replace(command, service=service))
     subscriber = scene.subscribe("e1")
@@ -125,11 +143,16 @@
     parts = [[d.service for d in message.documents] for message in scene.sent]
     assert parts == [["raktar"], ["bolt"], ["posta"], []]
     assert [message.index for message in scene.sent] == [1, 2, 3, 3]
-    assert [message.lease for message in scene.sent] == [0.0, 0.0, LEASE, LEASE]
+    assert [message.lease for message in scene.sent] == [
+        0.0,
+        0.0,
+        LEASE_SECONDS,
+        LEASE_SECONDS,
+    ]
 
 
-def test_claims_move_no_holder():
-    """Each claim would otherwise cost a message to and from every holder."""
+def test_claims_are_not_published():
+    """Claims are not published: each would cost a message to and from every holder."""
     scene = Scene()
     scene.log.apply(make_registration("n1"))
     subscriber = scene.subscribe("e1")
@@ -141,10 +164,10 @@
     assert len(scene.sent) == before
     scene.report(subscriber, scene.sent[-1].index, 2)
     assert scene.sent[-1].index == scene.sent[-2].index
-    assert scene.publisher.list_waiting(scene.log.state.applied) == []
+    assert scene.publisher.list_lagging(scene.log.state.applied) == []
 
 
-def test_reconnected_holder_gets_a_delta_or_the_whole():
+def test_reconnected_holder_gets_delta_or_full_state():
     scene = Scene()
     for base in range(3):
         scene.submit(base)
--- a/tests/control/test_server.py
+++ b/tests/control/test_server.py
@@ -1,4 +1,4 @@
-"""One control replica over real sockets: submit, publish, claim, retire."""
+"""A control replica over real sockets: submission, publication, claims, retirement."""
 
 import json
 from hashlib import sha256
@@ -10,7 +10,7 @@
 from ibishead.control.liveness import REATTACH_GRACE
 from ibishead.control.server import ControlServer
 from ibishead.control.state import ControlState
-from ibishead.control.upkeep import ROUND_INTERVAL
+from ibishead.control.upkeep import ROUND_SECONDS
 from ibishead.errors import LinkLost
 from ibishead.ids import HostId
 from ibishead.links import dial
@@ -38,7 +38,7 @@
     await running.server.stop()
 
 
-async def test_submission_reaches_a_holder_and_is_in_force(control):
+async def test_submission_reaches_holder_and_is_in_force(control):
     holder = follow([control], Role.ENTRY, "e1")
     await wait_for(holder.is_current)
     text = write_document()
@@ -73,7 +73,7 @@
         ("raktar?base=0&submission=s1&team=halo", write_document(), 200),
     ],
 )
-async def test_answers_to_submissions(control, target, text, status):
+async def test_status_of_submission(control, target, text, status):
     first = "/v1/documents/raktar?base=0&submission=s1&team=halo"
     await control.call("POST", first, write_document().encode())
     answer = await control.call("POST", f"/v1/documents/{target}", text.encode())
@@ -101,8 +101,8 @@
         ("replicas/replace", "admin", 400),
     ],
 )
-async def test_keys(tmp_path, caplog, target, key, status):
-    """An operator's key reaches the documents that list it, and no further."""
+async def test_access_by_key(tmp_path, caplog, target, key, status):
+    """An operator's key gives access only to the documents that list it."""
     settings = make_settings(tmp_path, admin_keys=(hash_key("admin"),))
     control = await start(settings)
     mester = write_document("mester") + (
@@ -118,8 +118,11 @@
     await control.server.stop()
 
 
-async def test_target_is_seen_and_gone(control):
-    """An agent is killed; its target must leave every entry's view by itself."""
+async def test_target_of_stopped_agent_is_retired(control):
+    """An agent stops; its target must be removed from every entry host's catalogue.
+
+    The agent's claims must become unknown without any further request.
+    """
     holder = follow([control], Role.ENTRY, "e1")
     agent = follow([control], Role.AGENT, "a1")
     registration = await agent.register(make_registration("n1").ask)
@@ -137,9 +140,9 @@
     await holder.stop()
 
 
-async def test_silent_agent_is_gone(control):
-    """An agent's host freezes: its link stays open, yet nobody answers on it."""
-    assert SILENCE_LIMIT + REATTACH_GRACE + ROUND_INTERVAL < 5.0
+async def test_target_of_silent_agent_is_retired(control):
+    """An agent's host freezes: its link stays open, but no messages arrive on it."""
+    assert SILENCE_LIMIT + REATTACH_GRACE + ROUND_SECONDS < 5.0
     holder = follow([control], Role.ENTRY, "e1")
     link = await dial(control.links, Hello(Role.AGENT, HostId("a1")), CLOCK)
     link.send(make_registration("n1").ask)
@@ -149,8 +152,8 @@
     await holder.stop()
 
 
-async def test_links_and_operators_by_tls(tmp_path):
-    """Only programs with a certificate of the settings' authority may link."""
+async def test_tls_on_both_servers(tmp_path):
+    """Links need a client certificate of the authority in the settings."""
     authority = trustme.CA()
     certificate = authority.issue_cert("127.0.0.1")
     authority.cert_pem.write_to_path(tmp_path / "ca.pem")
@@ -177,7 +180,7 @@
     await control.server.stop()
 
 
-async def test_platform_paths(control):
+async def test_health_and_status_paths(control):
     for path in ("/livez", "/readyz", "/metrics"):
         assert (await control.call("GET", path))[0] == 200
     assert (await control.read("/v1/status"))["leader"] == "c1"
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -1,4 +1,4 @@
-"""Asks are proposed until their answer is known, bounded, and time is counted."""
+"""Command retries, the bound on requests of a link, and the claims' time."""
 
 import asyncio
 
@@ -7,9 +7,13 @@
 from ibishead.clock import ManualClock, SystemClock
 from ibishead.control.commands import Accepted, AnnounceReplica
 from ibishead.control.publish import Publisher
-from ibishead.control.service import MAX_ASKS, ControlService, propose_command
+from ibishead.control.service import (
+    MAX_REQUESTS_PER_LINK,
+    ControlService,
+    propose_command,
+)
 from ibishead.control.state import ControlState
-from ibishead.control.upkeep import TIME_INTERVAL, Upkeep
+from ibishead.control.upkeep import TIME_STEP_SECONDS, Upkeep
 from ibishead.errors import ErrorCode, LinkLost, Unavailable
 from ibishead.ids import HostId, ReplicaId
 from ibishead.messages import Refusal, Role
@@ -26,10 +30,10 @@
 )
 
 
-class LogReplica(FakeReplica):
-    """Applies to a log, and loses answers on the way back.
+class LossyReplica(FakeReplica):
+    """Applies commands to a log and loses the first results.
 
-    :param losses: what is raised instead of the first answers.
+    :param losses: exceptions raised instead of the first results.
     """
 
     def __init__(self, log: Log, losses: list[Exception]) -> None:
@@ -51,38 +55,44 @@
 
 
 @pytest.mark.parametrize("losses", [[], [LOST], [UNKNOWN, LOST]])
-async def test_lost_answers_are_asked_for_again(losses):
-    """The leader dies right after it has committed a change."""
+async def test_command_is_proposed_again_after_lost_result(losses):
+    """The leader fails right after it has committed a change.
+
+    The change must be applied once and its result returned.
+    """
     log = Log()
-    replica = LogReplica(log, list(losses))
+    replica = LossyReplica(log, list(losses))
     result = await propose_command(replica, SystemClock(), make_submission("s1", 0))
     assert result == Accepted(RAKTAR, 1, "s1", 1)
     assert len(log.state.documents.histories[RAKTAR]) == 1
 
 
-async def test_no_quorum_is_told_at_once():
-    replica = LogReplica(Log(), [NO_QUORUM, LOST])
+async def test_missing_quorum_is_reported_at_once():
+    replica = LossyReplica(Log(), [NO_QUORUM, LOST])
     with pytest.raises(Unavailable) as caught:
         await propose_command(replica, SystemClock(), make_submission("s1", 0))
     assert caught.value.code is ErrorCode.NO_QUORUM
     assert replica.losses == [LOST]
 
 
-class FloodingLink(FakeLink):
-    """Sends many asks at once, and ends when all that can be are answered."""
+class BurstLink(FakeLink):
+    """Sends more requests at once than a link may have in progress."""
 
     async def receive(self):
-        for number in range(MAX_ASKS + 10):
+        for number in range(MAX_REQUESTS_PER_LINK + 10):
             yield make_claim(f"r{number}", 1, key=f"k{number}").ask
 
 
-async def test_flood_of_asks_is_refused():
-    """A peer sends faster than the log commits, and must not fill the memory."""
+async def test_excess_requests_are_refused():
+    """A peer sends faster than the log commits.
+
+    Queued without a bound, its requests would exhaust the memory.
+    """
     state = ControlState()
-    replica = LogReplica(Log(), [])
+    replica = LossyReplica(Log(), [])
     publisher = Publisher(state, replica.lease, SystemClock())
     service = ControlService(C1, state, replica, publisher, None, SystemClock())
-    link = FloodingLink(Role.ENTRY, "e1")
+    link = BurstLink(Role.ENTRY, "e1")
     await service.serve(link)
     refused = [m for m in link.sent if isinstance(m, Refusal)]
     assert len(refused) == 10
@@ -91,40 +101,43 @@
 
 
 class OpenLink(FakeLink):
-    """Stays open until it is closed."""
+    """Link that stays open until it is closed."""
 
     def __init__(self, role: Role, host: str) -> None:
         super().__init__(role, host)
-        self.over = asyncio.Event()
+        self.closed = asyncio.Event()
 
     async def receive(self):
-        await self.over.wait()
+        await self.closed.wait()
         return
         yield
 
     async def close(self) -> None:
-        self.over.set()
+        self.closed.set()
+
 
+async def test_links_of_replicas_stay_open():
+    """A replica without a quorum closes its clients' links, not the other replicas'.
 
-async def test_links_of_replicas_stay_without_a_lease():
-    """A replica without a quorum sends its peers away, but not the other replicas."""
+    Without the replicas' links the quorum could not be regained.
+    """
     state = ControlState()
     service = ControlService(C1, state, FakeReplica("c1"), None, None, SystemClock())
     links = [OpenLink(role, role.value) for role in Role]
     serving = [asyncio.create_task(service.serve(link)) for link in links]
     await asyncio.sleep(0)
-    await service.drop_links()
-    assert {link.peer.role for link in links if not link.over.is_set()} == {
+    await service.close_client_links()
+    assert {link.peer.role for link in links if not link.closed.is_set()} == {
         Role.CONTROL
     }
     await links[-1].close()
     await asyncio.gather(*serving)
 
 
-class Quiet:
-    """Stands for the parts of a replica that have nothing to do."""
+class IdleComponent:
+    """Test double for the components of a replica that have no work to do."""
 
-    def review(self) -> None:
+    def update_links(self) -> None:
         pass
 
     def note_replicas(self) -> None:
@@ -133,43 +146,43 @@
     def list_attached(self) -> set:
         return set()
 
-    async def attach_again(self) -> None:
+    async def reattach_targets(self) -> None:
         pass
 
-    def reaches(self, replica: ReplicaId) -> bool:
+    def is_connected(self, replica: ReplicaId) -> bool:
         return True
 
 
-class IdlePermitService(Quiet):
+class IdlePermitService(IdleComponent):
     async def update_leadership(self) -> None:
         pass
 
 
 @pytest.mark.parametrize(
-    ("leading", "claims", "counted"),
-    [(True, 1, TIME_INTERVAL), (True, 0, 0.0), (False, 1, 0.0)],
+    ("leading", "claims", "advanced"),
+    [(True, 1, TIME_STEP_SECONDS), (True, 0, 0.0), (False, 1, 0.0)],
 )
-async def test_claims_time_is_counted_by_the_leader(leading, claims, counted):
+async def test_leader_advances_claims_time(leading, claims, advanced):
     log = Log()
     log.apply(make_registration("n1", replica="c2"))
     for number in range(claims):
         log.apply(make_claim(f"r{number}", 1))
-    replica = LogReplica(log, [])
+    replica = LossyReplica(log, [])
     replica.leading = leading
     clock = ManualClock()
-    quiet = Quiet()
+    idle = IdleComponent()
     announced = AnnounceReplica(C1, HostId("h1"), "127.0.0.1", 7400)
     upkeep = Upkeep(
         lambda: announced,
         log.state,
         replica,
-        quiet,
+        idle,
         IdlePermitService(),
-        quiet,
-        quiet,
+        idle,
+        idle,
         clock,
     )
-    for seconds in (0.0, TIME_INTERVAL):
+    for seconds in (0.0, TIME_STEP_SECONDS):
         clock.step(seconds)
-        await upkeep.do_round()
-    assert log.state.claims.time == counted
+        await upkeep.run_round()
+    assert log.state.claims.time == advanced
