--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -66,8 +66,8 @@
     Guard(
         "an answer to an earlier life of a replica is none to this one",
         "control/replica.py",
-        "Answers(draw(NUMBERS))",
-        "Answers(0)",
+        "PendingQuestions(draw(FIRST_NUMBER_BOUND))",
+        "PendingQuestions(0)",
         (
             "tests/control/test_replica.py"
             "::test_answer_to_an_earlier_life_is_none_to_this_one",
@@ -366,7 +366,7 @@
     Guard(
         "targets of a dead replica are retired",
         "control/upkeep.py",
-        "return not leads or self._relay.reaches(member.replica)",
+        "return not is_leader or self._relay.is_connected(member.replica)",
         "return True",
         (
             "tests/control/test_group.py::"
--- a/src/ibishead/control/driver.py
+++ b/src/ibishead/control/driver.py
@@ -281,13 +281,13 @@
         if entry.kind is EntryKind.COMMAND:
             result = self._machine.apply(entry.index, entry.data)
         self._applied_bytes += len(entry.data)
-        self.waiters.note_result(entry.index, entry.term, result)
-        self.waiters.note_applied(entry.index)
+        self.waiters.complete_proposal(entry.index, entry.term, result)
+        self.waiters.advance_applied(entry.index)
 
     def _restore(self, snapshot: Snapshot) -> None:
         self._machine.restore(snapshot.data)
         self._snapshot_index = snapshot.index
-        self.waiters.note_restored(snapshot.index)
+        self.waiters.handle_restore(snapshot.index)
 
     def _answer_read(self, context: int, index: LogIndex | None) -> None:
         future = self.reads.pop(context, None)
--- a/src/ibishead/control/replica.py
+++ b/src/ibishead/control/replica.py
@@ -34,10 +34,10 @@
 from ibishead.control.peers import Configuration
 from ibishead.control.raftstate import Role, has_quorum
 from ibishead.control.waiters import (
-    NUMBERS,
-    Answers,
-    describe_no_quorum,
-    describe_unknown,
+    FIRST_NUMBER_BOUND,
+    PendingQuestions,
+    make_no_quorum_error,
+    make_unknown_outcome_error,
 )
 from ibishead.errors import ErrorCode, IbisheadError, StorageFault, Unavailable
 from ibishead.ids import HostId, LogIndex, ReplicaId
@@ -94,7 +94,7 @@
             on_failure,
         )
         self._reader = FrameReader()
-        self._answers = Answers(draw(NUMBERS))
+        self._answers = PendingQuestions(draw(FIRST_NUMBER_BOUND))
         self._reads = 0
         self._introduced = 0.0
         self._linked_rounds = 0
@@ -131,7 +131,7 @@
             return (await self._propose_here(command))[1]
         answer = await self._ask(lambda number: Forward(number, command))
         if applied:
-            await self._bound(self._driver.waiters.reach(answer.index))
+            await self._bound(self._driver.waiters.wait_applied(answer.index))
         return answer.result
 
     async def confirm_read(self) -> None:
@@ -144,7 +144,7 @@
                 index = await self._bound(self._read_here())
             else:
                 index = (await self._ask(AskRead)).index
-            await self._bound(self._driver.waiters.reach(index))
+            await self._bound(self._driver.waiters.wait_applied(index))
         except Unavailable as error:
             raise self._describe_no_quorum() from error
 
@@ -290,7 +290,7 @@
         leader = self.core.leader
         if leader is None or leader == self.name or self._driver.failed:
             raise self._describe_no_quorum()
-        number, future = self._answers.open(leader, outlives_lead=outlives_lead)
+        number, future = self._answers.open(leader, outlives_leadership=outlives_lead)
         try:
             if not self._links.send(self._identity, leader, make(number)):
                 raise self._describe_no_quorum()
@@ -303,11 +303,11 @@
             async with asyncio.timeout(limit or self.pace.answer):
                 return await waiting
         except TimeoutError as error:
-            raise describe_unknown() from error
+            raise make_unknown_outcome_error() from error
 
     def _describe_no_quorum(self) -> Unavailable:
         ticks = self.pace.timing.election + self._draw(self.pace.timing.election)
-        return describe_no_quorum(ticks * self.pace.tick)
+        return make_no_quorum_error(ticks * self.pace.tick)
 
     # Other replicas ----------------------------------------------------------
 
--- a/src/ibishead/control/waiters.py
+++ b/src/ibishead/control/waiters.py
@@ -1,4 +1,4 @@
-"""Coroutines that wait for the log: for an entry, for an index, for a peer's answer."""
+"""Futures of coroutines that wait for a log entry, a log index or a peer's answer."""
 
 import asyncio
 import heapq
@@ -10,29 +10,35 @@
 from ibishead.errors import ErrorCode, IbisheadError, Unavailable
 from ibishead.ids import LogIndex, ReplicaId, Term
 
-__all__ = ["NUMBERS", "Answers", "Waiters", "describe_no_quorum", "describe_unknown"]
+__all__ = [
+    "FIRST_NUMBER_BOUND",
+    "PendingQuestions",
+    "Waiters",
+    "make_no_quorum_error",
+    "make_unknown_outcome_error",
+]
 
-#: Numbers that questions may begin at.
-NUMBERS = 2**48
+#: Upper bound of the number that a replica's questions start from.
+FIRST_NUMBER_BOUND = 2**48
 
 
-def describe_no_quorum(seconds: float) -> Unavailable:
-    """Return the refusal of what needs a quorum.
+def make_no_quorum_error(seconds: float) -> Unavailable:
+    """Return the error for an operation that needs a quorum when there is none.
 
-    :param seconds: when an election will probably have ended.
+    :param seconds: time in which an election will probably have ended.
     """
     return Unavailable(
         "no leader with a quorum is known",
-        "ask again after the time given, or ask another control host",
+        "retry after the time given, or use another control host",
         code=ErrorCode.NO_QUORUM,
         retry_after=timedelta(seconds=seconds),
     )
 
 
-def describe_unknown() -> Unavailable:
-    """Return the error of a proposal of which nothing is known."""
+def make_unknown_outcome_error() -> Unavailable:
+    """Return the error for a proposal whose outcome is unknown."""
     return Unavailable(
-        "the change may or may not be accepted",
+        "it is unknown whether the change was accepted",
         "send the same change again; it is applied once",
         code=ErrorCode.OUTCOME_UNKNOWN,
     )
@@ -40,146 +46,156 @@
 
 @dataclass
 class _Proposal:
-    """One that waits for the entry of its term."""
+    """A proposal that waits for its entry, identified by index and term."""
 
     term: Term
-    due: float
+    deadline: float
     future: asyncio.Future[bytes]
 
 
 class Waiters:
-    """Proposals and reads that wait for this replica's own state machine."""
+    """Proposals and reads that wait for this replica's state machine."""
 
     def __init__(self) -> None:
         self._applied = 0
         self._proposals: dict[int, _Proposal] = {}
-        self._reaching: list[tuple[int, int, asyncio.Future[None]]] = []
+        self._index_waiters: list[tuple[int, int, asyncio.Future[None]]] = []
         self._number = 0
 
     def add_proposal(
-        self, index: LogIndex, term: Term, due: float
+        self, index: LogIndex, term: Term, deadline: float
     ) -> asyncio.Future[bytes]:
-        """Return the future result of the entry at an index of a term.
+        """Return the future result of the entry at an index and of a term.
 
-        :param due: monotonic seconds at which it fails.
+        :param deadline: monotonic seconds at which the future fails.
         """
         self._fail_at(index)
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        self._proposals[index] = _Proposal(term, due, future)
+        self._proposals[index] = _Proposal(term, deadline, future)
         return future
 
-    async def reach(self, index: LogIndex) -> None:
-        """Return once all up to an index is applied."""
+    async def wait_applied(self, index: LogIndex) -> None:
+        """Wait until all entries up to an index are applied."""
         if index <= self._applied:
             return
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._number += 1
-        heapq.heappush(self._reaching, (index, self._number, future))
+        heapq.heappush(self._index_waiters, (index, self._number, future))
         await future
 
-    def note_result(self, index: LogIndex, term: Term, result: bytes) -> None:
-        """Give a result to the proposal that waits for it."""
-        waiting = self._proposals.pop(index, None)
-        if waiting is None or waiting.future.done():
+    def complete_proposal(self, index: LogIndex, term: Term, result: bytes) -> None:
+        """Complete the proposal at an index with the result of its entry.
+
+        It fails if the entry is of another term.
+        """
+        proposal = self._proposals.pop(index, None)
+        if proposal is None or proposal.future.done():
             return
-        if waiting.term == term:
-            waiting.future.set_result(result)
+        if proposal.term == term:
+            proposal.future.set_result(result)
         else:
-            waiting.future.set_exception(describe_unknown())
+            proposal.future.set_exception(make_unknown_outcome_error())
 
-    def note_applied(self, index: LogIndex) -> None:
-        """Wake what waits for an index."""
+    def advance_applied(self, index: LogIndex) -> None:
+        """Wake the coroutines that wait for an index up to this one."""
         self._applied = max(self._applied, index)
-        while self._reaching and self._reaching[0][0] <= index:
-            future = heapq.heappop(self._reaching)[2]
+        while self._index_waiters and self._index_waiters[0][0] <= index:
+            future = heapq.heappop(self._index_waiters)[2]
             if not future.done():
                 future.set_result(None)
 
-    def note_restored(self, index: LogIndex) -> None:
-        """Wake what waits for an index, where a snapshot has come in between."""
-        for covered in [found for found in self._proposals if found <= index]:
-            self._fail_at(covered)
-        self.note_applied(index)
+    def handle_restore(self, index: LogIndex) -> None:
+        """Wake waiting coroutines after a snapshot was restored at an index.
+
+        The results of proposals that the snapshot includes are unknown.
+        """
+        for included in [known for known in self._proposals if known <= index]:
+            self._fail_at(included)
+        self.advance_applied(index)
 
     def expire(self, now: float) -> None:
-        """Tell proposals that are due that nothing is known of them."""
-        # one sweep a tick costs less than a timer for each proposal
-        due = [index for index, p in self._proposals.items() if p.due <= now]
-        for index in due:
+        """Fail the proposals whose deadline has passed, as of unknown outcome."""
+        # One scan per tick costs less than a timer for each proposal
+        expired = [index for index, p in self._proposals.items() if p.deadline <= now]
+        for index in expired:
             self._fail_at(index)
 
     def fail(self) -> None:
-        """Tell all proposals that nothing is known of them."""
+        """Fail all proposals, as of unknown outcome."""
         for index in list(self._proposals):
             self._fail_at(index)
 
     def _fail_at(self, index: int) -> None:
-        waiting = self._proposals.pop(index, None)
-        if waiting is not None and not waiting.future.done():
-            waiting.future.set_exception(describe_unknown())
+        proposal = self._proposals.pop(index, None)
+        if proposal is not None and not proposal.future.done():
+            proposal.future.set_exception(make_unknown_outcome_error())
 
 
 @dataclass
 class _Question:
-    """One that waits for another replica's answer."""
+    """A question that waits for another replica's answer."""
 
-    asked: ReplicaId
-    outlives_lead: bool
+    replica: ReplicaId
+    outlives_leadership: bool
     future: asyncio.Future[Any]
 
 
-class Answers:
-    """Questions to other replicas, by number.
+class PendingQuestions:
+    """Questions to other replicas that await an answer, by number.
 
-    :param first: number to count from. Answers come over links of their own, so those
-        to an earlier life of this replica may come now; drawn anew at each start from
-        `NUMBERS`, their numbers mean nothing here.
+    :param first: number to count from. Answers arrive over separate links, so that
+        those to an earlier process of this replica may still arrive. With a random
+        number below `FIRST_NUMBER_BOUND` at each start, they match no question here.
     """
 
     def __init__(self, first: int) -> None:
         self._number = first
-        self._waiting: dict[int, _Question] = {}
+        self._questions: dict[int, _Question] = {}
 
     def open(
-        self, replica: ReplicaId, *, outlives_lead: bool = False
+        self, replica: ReplicaId, *, outlives_leadership: bool = False
     ) -> tuple[int, asyncio.Future[Any]]:
         """Return the number of a new question and its future answer.
 
-        :param outlives_lead: the replica is to answer even if it leads no more.
+        :param outlives_leadership: expect the answer even if the replica is no longer
+            the leader.
         """
         self._number += 1
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._waiting[self._number] = _Question(replica, outlives_lead, future)
+        self._questions[self._number] = _Question(replica, outlives_leadership, future)
         return self._number, future
 
     def settle(self, number: int, answer: Any) -> None:
-        """Give an answer, or an error, to whoever waits for it."""
-        found = self._waiting.pop(number, None)
-        if found is None or found.future.done():
+        """Complete a question with an answer, or fail it with an `IbisheadError`."""
+        question = self._questions.pop(number, None)
+        if question is None or question.future.done():
             return
         if isinstance(answer, IbisheadError):
-            found.future.set_exception(answer)
+            question.future.set_exception(answer)
         else:
-            found.future.set_result(answer)
+            question.future.set_result(answer)
 
     def close(self, number: int) -> None:
-        """Forget a question."""
-        self._waiting.pop(number, None)
+        """Remove a question."""
+        self._questions.pop(number, None)
 
     def fail(self) -> None:
-        """Tell all questions that nothing is known of them."""
-        for number in list(self._waiting):
-            self.settle(number, describe_unknown())
+        """Fail all questions, as of unknown outcome."""
+        for number in list(self._questions):
+            self.settle(number, make_unknown_outcome_error())
 
     def fail_lost(
-        self, leader: ReplicaId | None, is_reached: Callable[[ReplicaId], bool]
+        self, leader: ReplicaId | None, is_linked: Callable[[ReplicaId], bool]
     ) -> None:
-        """Tell so the questions that nobody is going to answer.
+        """Fail the questions that won't be answered, as of unknown outcome.
+
+        These are the ones to a replica that is no longer the leader, unless they
+        outlive its leadership, or to one without a link.
 
-        :param leader: who leads now.
-        :param is_reached: whether a link leads to a replica.
+        :param leader: the current leader.
+        :param is_linked: returns whether there is an open link to a replica.
         """
-        for number, question in list(self._waiting.items()):
-            deposed = question.asked != leader and not question.outlives_lead
-            if deposed or not is_reached(question.asked):
-                self.settle(number, describe_unknown())
+        for number, question in list(self._questions.items()):
+            is_deposed = question.replica != leader and not question.outlives_leadership
+            if is_deposed or not is_linked(question.replica):
+                self.settle(number, make_unknown_outcome_error())
