--- a/src/ibishead/control/assembly.py
+++ b/src/ibishead/control/assembly.py
@@ -33,7 +33,7 @@
     """Open the data folder of the settings and return a replica on it, not started.
 
     The caller starts it with `LogReplica.start` and passes it every `PeerFrame` that
-    arrives at its link server, by `LogReplica.take_frame`.
+    arrives at its link server, by `LogReplica.receive_frame`.
 
     :param pace: the intervals of the replica; by default those of the settings.
     :param on_failure: called when the disk has failed; the program should then exit.
--- a/src/ibishead/control/commands.py
+++ b/src/ibishead/control/commands.py
@@ -72,7 +72,7 @@
 class RegisterTarget(_Record, frozen=True):
     """Assigns an incarnation to an agent process and attaches it to a replica."""
 
-    ask: AskRegistration
+    request: AskRegistration
     replica: ReplicaId
 
 
@@ -104,7 +104,7 @@
 class ClaimRequest(_Record, frozen=True):
     """Requests the right to run a non-idempotent request once."""
 
-    ask: AskClaim
+    request: AskClaim
 
 
 class SettleClaim(_Record, frozen=True):
--- a/src/ibishead/control/machine.py
+++ b/src/ibishead/control/machine.py
@@ -47,7 +47,7 @@
     async def start(self) -> None:
         """Join the replica set; this replica's link server must be listening."""
 
-    def take_frame(self, frame: PeerFrame) -> None:
+    def receive_frame(self, frame: PeerFrame) -> None:
         """Handle a frame that another replica sent to this one's link server."""
 
     async def propose(self, command: bytes, *, applied: bool = True) -> bytes:
@@ -89,7 +89,7 @@
     def replicas(self) -> ReplicaSet:
         """Return the current replica set."""
 
-    def count_reached(self) -> tuple[int, int]:
+    def count_linked_voters(self) -> tuple[int, int]:
         """Return the number of linked voters, itself included, and of all voters."""
 
     async def transfer(self) -> None:
--- a/src/ibishead/control/membership.py
+++ b/src/ibishead/control/membership.py
@@ -82,7 +82,7 @@
 
         A nonce whose incarnation ended by silence gets a new one.
         """
-        ask = command.ask
+        ask = command.request
         # Failure: an old agent's ask, delayed on its way, comes after its successor
         # has registered. Taken, it would end the successor in favour of a process
         # that is gone.
--- a/src/ibishead/control/replica.py
+++ b/src/ibishead/control/replica.py
@@ -177,7 +177,7 @@
         found = self.core.configuration
         return ReplicaSet(found.voters, found.learners)
 
-    def count_reached(self) -> tuple[int, int]:
+    def count_linked_voters(self) -> tuple[int, int]:
         """Return how many voters a link leads to, itself included, and all voters."""
         return len(self._list_linked()), len(self.core.configuration.voters)
 
@@ -232,7 +232,7 @@
         await self._links.stop()
         self._files.close()
 
-    def take_frame(self, frame: PeerFrame) -> None:
+    def receive_frame(self, frame: PeerFrame) -> None:
         """Take in what another replica sent to this one's link server."""
         if self._driver.failed or frame.receiver not in (self.name, ""):
             return
--- a/src/ibishead/control/service.py
+++ b/src/ibishead/control/service.py
@@ -175,7 +175,7 @@
                 if session.subscriber is not None:
                     self._publisher.handle_report(session.subscriber, message)
             case PeerFrame() if session.link.peer.role is Role.CONTROL:
-                self._replica.take_frame(message)
+                self._replica.receive_frame(message)
             case AskPermit():
                 self._permits.handle_request(session.link, message)
             case ReleasePermit():
--- a/src/ibishead/control/state.py
+++ b/src/ibishead/control/state.py
@@ -252,7 +252,7 @@
         return result
 
     def _register(self, index: LogIndex, command: RegisterTarget) -> Result:
-        target = command.ask.target
+        target = command.request.target
         before = self.targets.members.get(target)
         result = self.targets.register(index, command)
         if isinstance(result, Registered) and result.incarnation == index:
--- a/src/ibishead/registry/server.py
+++ b/src/ibishead/registry/server.py
@@ -230,7 +230,7 @@
             async for message in link.receive():
                 if isinstance(message, PeerFrame):
                     if self.replica is not None:
-                        self.replica.take_frame(message)
+                        self.replica.receive_frame(message)
                 elif not self._publisher.take(link, message):
                     logger.warning(
                         "unexpected message",
--- a/src/ibishead/registry/service.py
+++ b/src/ibishead/registry/service.py
@@ -221,7 +221,7 @@
     def _count_reached(self) -> str | None:
         if self._replica is None:
             return None
-        reached, all_voters = self._replica.count_reached()
+        reached, all_voters = self._replica.count_linked_voters()
         return f"{reached} of {all_voters}"
 
     async def _command(self, command: Command) -> Result:
--- a/tests/control/lone.py
+++ b/tests/control/lone.py
@@ -22,7 +22,7 @@
     async def start(self) -> None:
         """Return at once."""
 
-    def take_frame(self, frame: PeerFrame) -> None:
+    def receive_frame(self, frame: PeerFrame) -> None:
         """Drop it, as there are no others."""
 
     async def propose(self, command: bytes) -> bytes:
--- a/tests/control/replica_fakes.py
+++ b/tests/control/replica_fakes.py
@@ -84,7 +84,7 @@
 
     def _deliver(self, host: HostId, frame: PeerFrame) -> None:
         if self.reaches(host) and not self.cluster.silent & {self.own, host}:
-            self.cluster.hosts[host].replica.take_frame(frame)
+            self.cluster.hosts[host].replica.receive_frame(frame)
 
 
 class LeapingClock(SystemClock):
--- a/tests/control/support.py
+++ b/tests/control/support.py
@@ -68,7 +68,7 @@
 
 
 def make_registration(nonce: str, target: str = "t1", replica: str = "c1"):
-    ask = AskRegistration(
+    request = AskRegistration(
         nonce,
         TargetId(target),
         RAKTAR,
@@ -78,7 +78,7 @@
         "127.0.0.1",
         7300,
     )
-    return RegisterTarget(ask, ReplicaId(replica))
+    return RegisterTarget(request, ReplicaId(replica))
 
 
 def make_claim(
--- a/tests/control/test_group.py
+++ b/tests/control/test_group.py
@@ -61,7 +61,7 @@
     background = set()
 
     async def connected() -> None:
-        task = asyncio.create_task(agent.register(make_registration("n1").ask))
+        task = asyncio.create_task(agent.register(make_registration("n1").request))
         background.add(task)
 
     agent = follow(servers, Role.AGENT, "a1", connected)
--- a/tests/control/test_replica.py
+++ b/tests/control/test_replica.py
@@ -425,7 +425,7 @@
         async def receive(link: Link) -> None:
             async for message in link.receive():
                 if isinstance(message, PeerFrame) and host in replicas:
-                    replicas[host].take_frame(message)
+                    replicas[host].receive_frame(message)
 
         return LinkServer(receive, lambda: Hello(Role.CONTROL, host), clock)
 
--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -282,7 +282,7 @@
     tasks = set()
 
     async def register() -> None:
-        registrations.put_nowait(await agent.register(make_registration("n1").ask))
+        registrations.put_nowait(await agent.register(make_registration("n1").request))
 
     async def connected() -> None:
         tasks.add(asyncio.create_task(register()))
@@ -301,7 +301,7 @@
         await wait_for(entry.is_current)
 
     async def claim(number: int, key: str):
-        ask = make_claim(f"r{number}", registration.incarnation, key).ask
+        ask = make_claim(f"r{number}", registration.incarnation, key).request
         async for _ in poll():
             with contextlib.suppress(Unavailable):
                 return await entries[number].claim(ask, 5.0)
--- a/tests/control/test_server.py
+++ b/tests/control/test_server.py
@@ -125,13 +125,13 @@
     """
     holder = follow([control], Role.ENTRY, "e1")
     agent = follow([control], Role.AGENT, "a1")
-    registration = await agent.register(make_registration("n1").ask)
-    again = await agent.register(make_registration("n1").ask)
+    registration = await agent.register(make_registration("n1").request)
+    again = await agent.register(make_registration("n1").request)
     assert again == registration
     await wait_for(lambda: holder.catalog.find_target("t1") is not None)
-    claim = await holder.claim(make_claim("r1", registration.incarnation).ask, 5.0)
+    claim = await holder.claim(make_claim("r1", registration.incarnation).request, 5.0)
     assert claim.state is ClaimState.GRANTED
-    other = await holder.claim(make_claim("r2", registration.incarnation).ask, 5.0)
+    other = await holder.claim(make_claim("r2", registration.incarnation).request, 5.0)
     assert other.state is ClaimState.RUNNING
     await agent.stop()
     await wait_for(lambda: holder.catalog.find_target("t1") is None)
@@ -145,7 +145,7 @@
     assert SILENCE_LIMIT + REATTACH_GRACE + ROUND_SECONDS < 5.0
     holder = follow([control], Role.ENTRY, "e1")
     link = await dial(control.links, Hello(Role.AGENT, HostId("a1")), CLOCK)
-    link.send(make_registration("n1").ask)
+    link.send(make_registration("n1").request)
     await wait_for(lambda: holder.catalog.find_target("t1") is not None)
     await wait_for(lambda: holder.catalog.find_target("t1") is None)
     await link.close()
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -80,7 +80,7 @@
 
     async def receive(self):
         for number in range(MAX_REQUESTS_PER_LINK + 10):
-            yield make_claim(f"r{number}", 1, key=f"k{number}").ask
+            yield make_claim(f"r{number}", 1, key=f"k{number}").request
 
 
 async def test_excess_requests_are_refused():
--- a/tests/registry/test_service.py
+++ b/tests/registry/test_service.py
@@ -35,7 +35,7 @@
     def expects_leader(self) -> bool:
         return self.electing
 
-    def count_reached(self) -> tuple[int, int]:
+    def count_linked_voters(self) -> tuple[int, int]:
         return 1, 3
 
     async def confirm_read(self) -> None:
