--- a/src/ibishead/agent/reception.py
+++ b/src/ibishead/agent/reception.py
@@ -1,10 +1,10 @@
-"""The links of entry hosts: dispatches in, frames and load reports out."""
+"""Links from entry hosts: receives dispatches, sends frames and load reports."""
 
 import asyncio
 from collections.abc import Callable
 
 from ibishead.agent.attempts import Attempt
-from ibishead.agent.gate import AttemptKey, GateState, Rejected, Repeated, Taken
+from ibishead.agent.gate import Admitted, AttemptKey, Duplicate, GateState, Rejected
 from ibishead.agent.scheduler import Scheduler
 from ibishead.agent.slots import AdapterKey
 from ibishead.clock import Clock
@@ -25,50 +25,50 @@
 __all__ = ["Reception"]
 
 #: Seconds between load reports while the load changes.
-REPORT_INTERVAL = 0.05
+REPORT_INTERVAL_SECONDS = 0.05
 
-#: Seconds between load reports while it doesn't.
-QUIET_REPORT_INTERVAL = 0.5
+#: Seconds between load reports while the load does not change.
+IDLE_REPORT_INTERVAL_SECONDS = 0.5
 
 
 class Reception:
     """Serves the links of all entry hosts.
 
-    :param gate_state: what the agent knows, asked for at each dispatch.
-    :param own: whether an incarnation was this process's own.
+    :param gate_state: returns the gate's state, called for each dispatch.
+    :param is_own: whether an incarnation belongs or belonged to this process.
     """
 
     def __init__(
         self,
         scheduler: Scheduler,
         gate_state: Callable[[], GateState],
-        own: Callable[[Incarnation], bool],
+        is_own: Callable[[Incarnation], bool],
         clock: Clock,
     ) -> None:
         self._scheduler = scheduler
         self._gate = scheduler.gate
         self._gate_state = gate_state
-        self._own = own
+        self._is_own = is_own
         self._clock = clock
         self._links: set[Link] = set()
 
     async def serve(self, link: Link) -> None:
-        """Serve one link until it is over; what runs goes on without it."""
+        """Serve one link until it closes; its attempts continue to run without it."""
         self._links.add(link)
         link.send(self._scheduler.report())
         try:
             async for message in link.receive():
-                self._take(message, link)
+                self._handle(message, link)
         finally:
             self._links.discard(link)
-            self._scheduler.attempts.drop_watcher(link)
+            self._scheduler.attempts.remove_watcher(link)
 
-    async def report_for_ever(self) -> None:
-        """Send load reports to all links, soon after the load has changed."""
+    async def report_load(self) -> None:
+        """Send load reports to all links, at intervals and soon after a change."""
         changed = self._scheduler.changed
         while True:
             try:
-                async with asyncio.timeout(QUIET_REPORT_INTERVAL):
+                async with asyncio.timeout(IDLE_REPORT_INTERVAL_SECONDS):
                     await changed.wait()
             except TimeoutError:
                 pass
@@ -76,9 +76,9 @@
             report = self._scheduler.report()
             for link in list(self._links):
                 link.send(report)
-            await asyncio.sleep(REPORT_INTERVAL)
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
-    def _take(self, message: Message, link: Link) -> None:
+    def _handle(self, message: Message, link: Link) -> None:
         match message:
             case Dispatch():
                 self._dispatch(message, link)
@@ -95,18 +95,18 @@
 
     def _dispatch(self, dispatch: Dispatch, link: Link) -> None:
         match self._gate.check(dispatch, self._gate_state()):
-            case Taken():
+            case Admitted():
                 attempt = Attempt(
                     dispatch, self._clock.monotonic(), _find_key(dispatch)
                 )
                 attempt.watchers.add(link)
                 self._scheduler.submit(attempt)
-            case Repeated():
+            case Duplicate():
                 found = self._scheduler.attempts.find(
                     AttemptKey(dispatch.request, dispatch.attempt)
                 )
                 if found is not None and link not in found.watchers:
-                    found.watch(link, Sequence(0))
+                    found.add_watcher(link, Sequence(0))
             case Rejected() as rejected:
                 link.send(
                     NotRun(
@@ -123,20 +123,20 @@
         key = AttemptKey(resume.request, resume.attempt)
         found = self._scheduler.attempts.find(key)
         if found is not None:
-            found.watch(link, resume.next_sequence)
-        elif self._own(resume.incarnation) and self._gate.bury(key):
-            # Nothing of the attempt has come and, once buried, nothing of it will
-            # ever run here: this is the proof that lets it run elsewhere.
+            found.add_watcher(link, resume.next_sequence)
+        elif self._is_own(resume.incarnation) and self._gate.add_tombstone(key):
+            # The attempt has not arrived, and the tombstone keeps it from ever running
+            # here. This proof allows the entry host to run it elsewhere.
             link.send(
                 NotRun(
                     resume.request,
                     resume.attempt,
                     ErrorCode.NEVER_RECEIVED,
-                    "the dispatch never arrived and is refused from now on",
+                    "the dispatch was not received and will be refused if it arrives",
                 )
             )
         else:
-            # An earlier agent may have run it, or the answer is no longer kept
+            # An earlier agent may have run it, or its frames have been discarded
             link.send(
                 AnswerEnd(
                     resume.request,
@@ -144,7 +144,7 @@
                     resume.next_sequence,
                     Outcome.UNKNOWN,
                     ErrorCode.OUTCOME_UNKNOWN,
-                    "this agent doesn't know how the attempt ended",
+                    "this agent has no record of how the attempt ended",
                 )
             )
 
