--- a/src/ibishead/control/service.py
+++ b/src/ibishead/control/service.py
@@ -135,8 +135,8 @@
         """Attach targets whose agents are linked here but attached to another replica.
 
         Failure: an agent has connected here, and its registration over its former
-        link is committed late. The replica that it is attached to by that would find
-        no link of the agent and retire the target, though it is serving.
+        link is committed late. It attaches the target to a replica without a link to
+        the agent, which would retire the target though it is serving.
 
         :raises Unavailable: there is no quorum.
         """
--- a/tests/control/test_permits.py
+++ b/tests/control/test_permits.py
@@ -84,7 +84,7 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["ask", "release", "new leader", "wait"]),
+        st.sampled_from(["request", "release", "new leader", "wait"]),
         st.integers(0, 30),
         st.floats(0.0, 1.5),
     ),
@@ -104,7 +104,7 @@
     running: dict[int, float] = {}
     for action, number, seconds in steps:
         match action:
-            case "ask":
+            case "request":
                 allocator.add_request(make_request(number, urgency=seconds), now)
             case "release":
                 allocator.release(make_release(number), now)
