--- a/src/ibishead/agent/scheduler.py
+++ b/src/ibishead/agent/scheduler.py
@@ -19,8 +19,8 @@
 from ibishead.agent.target import TargetClient, TargetRestarted
 from ibishead.agent.watcher import TargetWatcher
 from ibishead.clock import Clock
-from ibishead.decisions.loading import FIRST_BACKOFF, LoadBackoff
-from ibishead.decisions.queueing import FairQueue, Waiting, choose_late, choose_next
+from ibishead.decisions.loading import INITIAL_BACKOFF_SECONDS, LoadBackoff
+from ibishead.decisions.queueing import FairQueue, QueuedRequest, choose_next, list_late
 from ibishead.errors import ErrorCode, IbisheadError
 from ibishead.ids import BootId, TargetId
 from ibishead.messages import LoadReport, Outcome
@@ -79,7 +79,7 @@
     is_engine: bool
     batch: int
     slots: int
-    failure_backoff: float = FIRST_BACKOFF
+    failure_backoff: float = INITIAL_BACKOFF_SECONDS
 
 
 class Registrar(LoadAuthority, Protocol):
@@ -239,7 +239,7 @@
         queued = {a.key: a for a in self.attempts.list_in(AttemptState.QUEUED)}
         unreachable = self._watcher.measure_downtime() > UNHEALTHY_GRACE_SECONDS
         views = [self._make_view(attempt, now) for attempt in queued.values()]
-        late = choose_late(views, now, self._estimate_shortest_run())
+        late = list_late(views, now, self._estimate_shortest_run())
         late_keys = {(item.request, item.attempt) for item in late}
         for key, attempt in queued.items():
             if (key.request, key.attempt) in late_keys:
@@ -297,11 +297,11 @@
         attempt.task = asyncio.create_task(self._run(attempt, pin, now))
         self.changed.set()
 
-    def _make_view(self, attempt: Attempt, now: float) -> Waiting:
+    def _make_view(self, attempt: Attempt, now: float) -> QueuedRequest:
         ready = self._is_ready(attempt)
         if ready and attempt.ready_at is None:
             attempt.ready_at = now
-        return Waiting(
+        return QueuedRequest(
             request=attempt.dispatch.request,
             attempt=attempt.dispatch.attempt,
             team=attempt.dispatch.team,
--- a/src/ibishead/control/force.py
+++ b/src/ibishead/control/force.py
@@ -8,7 +8,7 @@
 
 from ibishead.clock import Clock
 from ibishead.control.machine import Replica
-from ibishead.control.publish import LEASE, Publisher
+from ibishead.control.publish import LEASE_SECONDS, Publisher
 from ibishead.control.relay import Relay
 from ibishead.control.state import ControlState
 from ibishead.ids import HostId, LogIndex, ReplicaId
@@ -21,7 +21,7 @@
 
 #: Seconds after which no holder can have a lease from a replica that hasn't applied a
 #: change: first the replica's own lease ends, then those that it granted.
-LEASE_LIMIT_SECONDS = REPLICA_LEASE_SECONDS + LEASE
+LEASE_LIMIT_SECONDS = REPLICA_LEASE_SECONDS + LEASE_SECONDS
 
 #: Number of changes whose time of application is stored; older ones were applied before
 #: the oldest of these.
@@ -77,7 +77,7 @@
 
         :param index: log index of the change.
         """
-        waiting = set(self._publisher.list_waiting(index))
+        waiting = set(self._publisher.list_lagging(index))
         self.record_replicas()
         for replica in list(self._recent_replicas):
             if replica != self._name:
--- a/src/ibishead/control/membership.py
+++ b/src/ibishead/control/membership.py
@@ -84,7 +84,7 @@
 
         A nonce gets a new incarnation if its former one was retired.
         """
-        ask = command.ask
+        ask = command.request
         # Failure: the delayed registration of an old agent arrives after that of its
         # successor. Accepting it would end the successor's incarnation in favour of a
         # process that has exited.
--- a/src/ibishead/control/replica.py
+++ b/src/ibishead/control/replica.py
@@ -34,10 +34,10 @@
 from ibishead.control.peers import Configuration
 from ibishead.control.raftstate import Role, has_quorum
 from ibishead.control.waiters import (
-    NUMBERS,
-    Answers,
-    describe_no_quorum,
-    describe_unknown,
+    FIRST_NUMBER_BOUND,
+    PendingQuestions,
+    make_no_quorum_error,
+    make_unknown_outcome_error,
 )
 from ibishead.errors import ErrorCode, IbisheadError, StorageFault, Unavailable
 from ibishead.ids import HostId, LogIndex, ReplicaId
@@ -94,7 +94,7 @@
             on_failure,
         )
         self._reader = FrameReader()
-        self._answers = Answers(draw(NUMBERS))
+        self._answers = PendingQuestions(draw(FIRST_NUMBER_BOUND))
         self._read_count = 0
         self._introduced_at = 0.0
         self._linked_rounds = 0
@@ -131,7 +131,7 @@
             return (await self._propose_here(command))[1]
         answer = await self._request_leader(lambda number: Forward(number, command))
         if applied:
-            await self._with_timeout(self._driver.waiters.reach(answer.index))
+            await self._with_timeout(self._driver.waiters.wait_applied(answer.index))
         return answer.result
 
     async def confirm_read(self) -> None:
@@ -144,7 +144,7 @@
                 index = await self._with_timeout(self._read_here())
             else:
                 index = (await self._request_leader(AskRead)).index
-            await self._with_timeout(self._driver.waiters.reach(index))
+            await self._with_timeout(self._driver.waiters.wait_applied(index))
         except Unavailable as error:
             raise self._describe_no_quorum() from error
 
@@ -181,7 +181,7 @@
         found = self.core.configuration
         return ReplicaSet(found.voters, found.learners)
 
-    def count_reached(self) -> tuple[int, int]:
+    def count_linked_voters(self) -> tuple[int, int]:
         """Return the number of reachable voters and the number of all voters.
 
         Reachable are those to which a link is open, and this replica itself.
@@ -239,7 +239,7 @@
         await self._links.stop()
         self._files.close()
 
-    def take_frame(self, frame: PeerFrame) -> None:
+    def receive_frame(self, frame: PeerFrame) -> None:
         """Process a frame that another replica sent to this one's link server."""
         if self._driver.failed or frame.receiver not in (self.name, ""):
             return
@@ -297,7 +297,7 @@
         leader = self.core.leader
         if leader is None or leader == self.name or self._driver.failed:
             raise self._describe_no_quorum()
-        number, future = self._answers.open(leader, outlives_lead=outlives_lead)
+        number, future = self._answers.open(leader, outlives_leadership=outlives_lead)
         try:
             if not self._links.send(self._identity, leader, make_message(number)):
                 raise self._describe_no_quorum()
@@ -312,11 +312,11 @@
             async with asyncio.timeout(timeout_seconds or self.options.answer_timeout):
                 return await result
         except TimeoutError as error:
-            raise describe_unknown() from error
+            raise make_unknown_outcome_error() from error
 
     def _describe_no_quorum(self) -> Unavailable:
         ticks = self.options.timing.election + self._draw(self.options.timing.election)
-        return describe_no_quorum(ticks * self.options.tick_seconds)
+        return make_no_quorum_error(ticks * self.options.tick_seconds)
 
     # Other replicas ----------------------------------------------------------
 
--- a/src/ibishead/gateway/server.py
+++ b/src/ibishead/gateway/server.py
@@ -68,7 +68,7 @@
             settings.registries,
             clock,
             on_routes=self._apply_routes,
-            on_statements=self._handle_statements,
+            on_registrations=self._handle_statements,
             on_members=self._connect_stewards,
         )
         self.metrics = Metrics("gateway")
--- a/tests/control/lone.py
+++ b/tests/control/lone.py
@@ -22,8 +22,8 @@
     async def start(self) -> None:
         """Return at once."""
 
-    def take_frame(self, frame: PeerFrame) -> None:
-        """Discard the frame, as there are no other replicas."""
+    def receive_frame(self, frame: PeerFrame) -> None:
+        """Drop it, as there are no others."""
 
     async def propose(self, command: bytes) -> bytes:
         """Apply the command and return its result."""
--- a/tests/control/test_force.py
+++ b/tests/control/test_force.py
@@ -11,7 +11,7 @@
 
 
 class FakeRelay:
-    """Answers for the other replicas; None for unreachable ones."""
+    """PendingQuestions for the other replicas; None for unreachable ones."""
 
     def __init__(self, answers: dict[str, Holders | None]) -> None:
         self.answers = answers
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -477,7 +477,7 @@
     core = replicas.nodes[leader].core
     core.propose_configuration(changes.add_learner(core.configuration, ReplicaId("d")))
     wanted = changes.add_learner(core.configuration, ReplicaId("e"))
-    with pytest.raises(Conflict, match="under way"):
+    with pytest.raises(Conflict, match="is in progress"):
         core.propose_configuration(wanted)
 
 
@@ -487,7 +487,7 @@
     A partitioned leader has started one, and its successor starts another.
     """
     core = make_leader_core(PersistentState(Term(1), A, FOUNDING))
-    with pytest.raises(Unavailable, match="lead yet"):
+    with pytest.raises(Unavailable, match="not the leader, or not yet sure"):
         core.propose_configuration(changes.remove(ABC, C))
 
 
