--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -63,11 +63,11 @@
     Guard(
         "an answer to an earlier life of a replica is none to this one",
         "control/replica.py",
-        "Answers(draw(NUMBERS))",
-        "Answers(0)",
+        "PendingQuestions(draw(FIRST_NUMBER_BOUND))",
+        "PendingQuestions(0)",
         (
             "tests/control/test_replica.py"
-            "::test_answer_to_an_earlier_life_is_none_to_this_one",
+            "::test_answer_from_before_a_restart_is_ignored",
         ),
     ),
     Guard(
@@ -93,9 +93,9 @@
     Guard(
         "haste in elections deposes nobody",
         "control/election.py",
-        "    if _hears_leader(state) and not request.transfer:",
+        "    if _has_live_leader(state) and not request.transfer:",
         "    if False:",
-        ("tests/test_consensus.py::test_haste_leaves_a_leader_alone",),
+        ("tests/test_consensus.py::test_early_election_keeps_a_working_leader",),
     ),
     Guard(
         "loads that wait at an engine without its model count",
@@ -353,14 +353,14 @@
     Guard(
         "asks for permits reach the leader",
         "control/granting.py",
-        "if stays or leader is None or not self._forward(leader, ask):",
+        "if is_final or leader is None or not self._forward(leader, request):",
         "if True:",
         ("tests/control/test_group.py::test_permit_comes_through_a_follower",),
     ),
     Guard(
         "targets of a dead replica are retired",
         "control/upkeep.py",
-        "return not leads or self._relay.reaches(member.replica)",
+        "return not is_leader or self._relay.is_connected(member.replica)",
         "return True",
         (
             "tests/control/test_group.py::"
--- a/src/ibishead/control/identity.py
+++ b/src/ibishead/control/identity.py
@@ -1,35 +1,41 @@
-"""Who a replica is; the answer lives and dies with its data folder."""
+"""A replica's identity, which is stored in its data folder and lost with it."""
 
 from collections.abc import Callable
 
 import msgspec
 
 from ibishead.control.folder import Files
-from ibishead.control.records import DamagedRecord, Record, frame, split
+from ibishead.control.records import (
+    DamagedRecord,
+    Record,
+    decode_records,
+    encode_record,
+)
 from ibishead.errors import StorageFault
 from ibishead.ids import HostId, ReplicaId
 
 __all__ = [
     "Identity",
     "load_identity",
-    "read_whole",
+    "read_checked",
     "replica_host",
     "save_identity",
-    "write_whole",
+    "write_atomically",
 ]
 
-_FILE = "identity"
-_UNFINISHED = ".new"
-_REPLACE = (
+_IDENTITY_FILE = "identity"
+_TEMPORARY_SUFFIX = ".new"
+_REMEDY = (
     "give this replica an empty data folder and run `ibishead replace` for the old one"
 )
 
 
 class Identity(msgspec.Struct, frozen=True, array_like=True):
-    """Who a replica is and which cluster it has joined.
+    """The name of a replica and the cluster that it has joined.
 
-    :param cluster: drawn at the founding; empty until the replica is part of one.
-    :param founders: the first voters, where this replica is one of them.
+    :param replica: host and a random suffix, joined by a dot.
+    :param cluster: random name given at the founding; empty until the replica joins.
+    :param founders: the initial voters, if this replica is one of them.
     """
 
     replica: ReplicaId
@@ -38,37 +44,38 @@
 
 
 def load_identity(files: Files, host: HostId, draw_name: Callable[[], str]) -> Identity:
-    """Return the identity in a folder, or give an empty folder a new one.
+    """Return the identity stored in a folder; an empty folder gets a new one.
 
-    A replica that lost its disk has forgotten its votes and what it had acknowledged.
-    Under its old name it would vote again in the same term and elect a leader that
-    lacks accepted changes; under a new one it counts for nothing until it is taken in.
+    A replica that lost its disk no longer knows its votes and the entries that it
+    acknowledged. Under its old name it could vote twice in a term and elect a leader
+    that lacks accepted changes. Under a new name it has no vote until it is added to
+    the replica set.
 
-    :param draw_name: returns text that no two calls anywhere return alike.
-    :raises StorageFault: the identity is damaged, gone or of another host.
+    :param draw_name: returns a globally unique string on each call.
+    :raises StorageFault: the identity is damaged, missing or that of another host.
     """
     for name in files.names():
-        if name.endswith(_UNFINISHED):
+        if name.endswith(_TEMPORARY_SUFFIX):
             files.remove(name)
     names = files.names()
-    if _FILE not in names:
+    if _IDENTITY_FILE not in names:
         if names:
-            raise StorageFault("the data folder has lost its identity", _REPLACE)
+            raise StorageFault("the data folder lost its identity file", _REMEDY)
         identity = Identity(ReplicaId(f"{host}.{draw_name()}"))
         save_identity(files, identity)
         return identity
-    found = msgspec.msgpack.decode(read_whole(files, _FILE), type=Identity)
+    found = msgspec.msgpack.decode(read_checked(files, _IDENTITY_FILE), type=Identity)
     if replica_host(found.replica) != host:
         raise StorageFault(
             f"the data folder belongs to host {replica_host(found.replica)}",
-            f"start it there, or give {host} an empty folder",
+            f"start the replica on that host, or give {host} an empty data folder",
         )
     return found
 
 
 def save_identity(files: Files, identity: Identity) -> None:
-    """Put an identity on the disk, durably."""
-    write_whole(files, _FILE, msgspec.msgpack.encode(identity))
+    """Store an identity durably."""
+    write_atomically(files, _IDENTITY_FILE, msgspec.msgpack.encode(identity))
 
 
 def replica_host(replica: ReplicaId) -> HostId:
@@ -76,27 +83,27 @@
     return HostId(replica.rpartition(".")[0] or replica)
 
 
-def write_whole(files: Files, name: str, payload: bytes) -> None:
-    """Put a whole file in place so that a crash leaves the old one or the new one."""
-    unfinished = name + _UNFINISHED
-    if unfinished in files.names():
-        files.remove(unfinished)
-    files.append(unfinished, frame(payload))
-    files.sync(unfinished)
-    files.rename(unfinished, name)
-    files.sync_names()
+def write_atomically(files: Files, name: str, payload: bytes) -> None:
+    """Replace a file atomically: a crash leaves either the old or the new content."""
+    temporary = name + _TEMPORARY_SUFFIX
+    if temporary in files.names():
+        files.remove(temporary)
+    files.append(temporary, encode_record(payload))
+    files.sync(temporary)
+    files.rename(temporary, name)
+    files.sync_directory()
 
 
-def read_whole(files: Files, name: str) -> bytes:
-    """Return the payload of a file that `write_whole` has put in place.
+def read_checked(files: Files, name: str) -> bytes:
+    """Return the payload of a file written by `write_atomically`.
 
     :raises StorageFault: the file is damaged.
     """
     try:
-        found = list(split(files.read(name)))
+        found = list(decode_records(files.read(name)))
     except DamagedRecord:
         found = []
     match found:
         case [Record(payload)]:
             return payload
-    raise StorageFault(f"the file {name} in the data folder is damaged", _REPLACE)
+    raise StorageFault(f"the file {name} in the data folder is damaged", _REMEDY)
--- a/src/ibishead/control/repair.py
+++ b/src/ibishead/control/repair.py
@@ -1,4 +1,4 @@
-"""Takes new replicas in and lost ones out, by an operator's wish or unattended."""
+"""Replacement of lost replicas by new ones, by an operator's command or automatic."""
 
 import asyncio
 import logging
@@ -13,261 +13,284 @@
 if TYPE_CHECKING:
     from ibishead.control.replica import LogReplica
 
-__all__ = ["REPLACE_LIMIT", "Watch", "replace"]
+__all__ = ["REPLACE_TIMEOUT_SECONDS", "RepairMonitor", "replace"]
 
 logger = logging.getLogger(__name__)
 
-#: Seconds in which a new replica must have caught up.
-REPLACE_LIMIT = 120.0
+#: Seconds within which a new replica must catch up with the log.
+REPLACE_TIMEOUT_SECONDS = 120.0
 
-#: Seconds for which the promotion of a replica that has held the whole log waits for
-#: the entry in between.
-_PROMOTE_LIMIT = 2.0
+#: Seconds for which the promotion of a replica that had caught up waits for it to
+#: receive the entry of the last change.
+_PROMOTE_TIMEOUT_SECONDS = 2.0
 
-#: Seconds without an introduction after which a spare counts as gone.
-_HEARD_LIMIT = 5.0
+#: Seconds without an introduction after which a host counts as unreachable.
+_INTRODUCTION_TIMEOUT_SECONDS = 5.0
 
-#: Seconds between two tries of an unattended repair; short, so that two voters lost in
-#: turn are both replaced before a third may go.
-_REPAIR_INTERVAL = 0.5
+#: Seconds between attempts at an automatic repair, short enough that two voters lost in
+#: succession are both replaced before a third may be lost.
+_REPAIR_INTERVAL_SECONDS = 0.5
 
 
 async def replace(replica: "LogReplica", lost: ReplicaId, host: HostId) -> ReplicaId:
     """Replace a replica by the new one that runs on a host; to be called on the leader.
 
-    The new one is a learner until it holds the log. Then a silent voter leaves first,
-    as the two together would ask for more hosts than are alive, should the new one
-    fail too. A voter that still answers leaves last, so that the set never shrinks.
+    The new replica is a learner until it has caught up with the log. Then a silent
+    voter is removed before the promotion, as otherwise both together would raise the
+    quorum above the number of live voters if the new replica failed too. A voter that
+    still answers is removed after the promotion, so that the set never shrinks.
 
-    :raises Unavailable: the host has no new replica, or it doesn't catch up.
+    :returns: the new replica.
+    :raises Unavailable: the host has no new replica, it doesn't catch up, or the
+        replica to replace is the leader, which has then transferred its leadership.
     :raises Conflict: the host's replica is a voter already, or another change of the
-        replica set is under way.
+        replica set is in progress.
     """
-    fresh = _find_fresh(replica, lost, host)
-    _check_size(replica, lost, fresh)
-    await _take_in(replica, fresh)
+    new = _find_new_replica(replica, lost, host)
+    _check_size(replica, lost, new)
+    await _add_and_catch_up(replica, new)
     if lost == replica.name:
-        await _promote(replica, fresh)
+        await _promote(replica, new)
         await replica.transfer()
         raise Unavailable(
-            f"{lost} led and has handed over",
-            "ask again; the new leader removes it",
+            f"{lost} was the leader and has handed over the leadership",
+            "repeat the command, so that the new leader removes it",
             code=ErrorCode.NOT_LEADER,
-            retry_after=timedelta(seconds=replica.pace.election),
+            retry_after=timedelta(seconds=replica.options.election_timeout),
         )
-    superseded = replica_host(lost) == replica_host(fresh)
-    if superseded or replica.core.silence(lost) >= replica.pace.timing.election:
-        await _take_out(replica, lost)
-        await _promote(replica, fresh)
+    same_host = replica_host(lost) == replica_host(new)
+    if same_host or replica.core.silence(lost) >= replica.options.timing.election:
+        await _remove(replica, lost)
+        await _promote(replica, new)
     else:
-        await _promote(replica, fresh)
-        await _take_out(replica, lost)
-    logger.info("replica %s replaced by %s", lost, fresh)
-    return fresh
+        await _promote(replica, new)
+        await _remove(replica, lost)
+    logger.info("replica %s replaced by %s", lost, new)
+    return new
 
 
-class Watch:
-    """Replaces lost replicas without an operator, where a new one is at hand."""
+class RepairMonitor:
+    """Replaces lost replicas without an operator if a new replica is available."""
 
     def __init__(self, replica: "LogReplica") -> None:
         self._replica = replica
         self._running = False
-        self._next = 0.0
+        self._next_attempt = 0.0
 
     def find_spare(self) -> ReplicaId | None:
-        """Return a new replica that holds no copy of the log yet, if one is at hand.
+        """Return an available replica that is neither voter nor learner, if any.
 
-        As a learner it can take a lost voter's place at once, and answers reads and
-        passes on commands meanwhile.
+        As a learner, it can replace a lost voter immediately; until then it serves
+        reads and forwards commands.
         """
         replica = self._replica
-        if self._running or not replica.pace.readmit:
+        if self._running or not replica.options.replace_emptied:
             return None
         current = replica.core.configuration
         for host in sorted(replica.founding.known):
             found = replica.founding.known[host].replica
-            if _has_fresh(replica, host) and found not in current.learners:
+            if _has_new_replica(replica, host) and found not in current.learners:
                 return found
         return None
 
-    async def take_spare(self, spare: ReplicaId) -> None:
-        """Make a spare a learner, in place of former replicas of its host."""
+    async def add_spare(self, spare: ReplicaId) -> None:
+        """Add a spare as a learner, and remove former learners of its host."""
         self._running = True
         try:
             current = self._replica.core.configuration
             for former in current.learners:
                 if replica_host(former) == replica_host(spare):
-                    await _take_out(self._replica, former)
+                    await _remove(self._replica, former)
             current = self._replica.core.configuration
             await self._replica.change_configuration(
                 configuration.add_learner(current, spare)
             )
-            logger.info("spare %s follows the log", spare)
+            logger.info("spare %s added as a learner", spare)
         except IbisheadError as error:
-            logger.info("spare not taken in", extra={"reason": str(error)})
+            logger.info("spare not added as a learner", extra={"reason": str(error)})
         finally:
             self._running = False
-            self._next = self._replica.clock.monotonic() + _REPAIR_INTERVAL
+            self._next_attempt = (
+                self._replica.clock.monotonic() + _REPAIR_INTERVAL_SECONDS
+            )
 
     def is_due(self) -> bool:
-        """Return whether a voter is lost, a new replica is there and none is under way.
+        """Return whether a voter is lost and its replacement can start now.
 
-        A lost voter costs nothing by itself, but the next loss would stop all changes.
-        It counts as lost only after minutes, as a restart or a short cut is no reason
-        to copy the whole log.
+        That takes an available new replica and no other repair in progress. A lost
+        voter alone does no harm, but the next loss would block all changes. By default,
+        a voter counts as lost only after minutes of silence, as a restart or a short
+        network interruption doesn't justify copying the whole log.
         """
         now = self._replica.clock.monotonic()
-        return not self._running and now >= self._next and self._plan() is not None
+        return (
+            not self._running
+            and now >= self._next_attempt
+            and self._choose_repair() is not None
+        )
 
-    def find_missing(self) -> ReplicaId | None:
-        """Return a learner to promote where voters are too few.
+    def find_promotable(self) -> ReplicaId | None:
+        """Return a learner to promote if there are fewer voters than configured.
 
-        Failure: a replacement removes the lost voter and is then interrupted, by a
-        change of leader or a learner that lags. Nothing is silent any more, so no
-        repair is due, and the next loss ends the quorum for good.
+        Failure: a replacement removes the lost voter and is then interrupted by a
+        change of leader or a learner that lags. No voter is silent any more, so no
+        repair is due, and the next loss ends the quorum permanently.
         """
         replica = self._replica
         current = replica.core.configuration
-        if self._running or len(current.voters) >= replica.pace.voters:
+        if self._running or len(current.voters) >= replica.options.target_voters:
             return None
-        if replica.clock.monotonic() < self._next:
+        if replica.clock.monotonic() < self._next_attempt:
             return None
         for learner in current.learners:
             known = replica.founding.known.get(replica_host(learner))
-            heard = known is not None and known.replica == learner
+            introduced = known is not None and known.replica == learner
             if (
-                heard
-                and _is_heard(replica, replica_host(learner))
+                introduced
+                and _is_recent(replica, replica_host(learner))
                 and replica.core.is_caught_up(learner)
             ):
                 return learner
         return None
 
     async def promote(self, learner: ReplicaId) -> None:
-        """Make a learner a voter."""
+        """Promote a learner to voter."""
         self._running = True
         try:
             await _promote(self._replica, learner)
-            logger.info("learner %s votes", learner)
+            logger.info("learner %s now votes", learner)
         except IbisheadError as error:
-            logger.warning("learner doesn't vote yet", extra={"reason": str(error)})
+            logger.warning("learner not promoted yet", extra={"reason": str(error)})
         finally:
             self._running = False
-            self._next = self._replica.clock.monotonic() + _REPAIR_INTERVAL
+            self._next_attempt = (
+                self._replica.clock.monotonic() + _REPAIR_INTERVAL_SECONDS
+            )
 
     async def run(self) -> None:
-        """Replace the voter that has been silent longest."""
-        plan = self._plan()
+        """Replace a voter whose host has a new replica, or that was silent longest."""
+        plan = self._choose_repair()
         if plan is None:
             return
         self._running = True
         lost, host = plan
-        logger.warning("replica %s is lost, replacing it by one on %s", lost, host)
+        logger.warning(
+            "replica %s is lost, replacing it by the new one on %s", lost, host
+        )
         try:
             await replace(self._replica, lost, host)
         except IbisheadError as error:
-            logger.warning("repair not finished", extra={"reason": str(error)})
+            logger.warning("repair failed", extra={"reason": str(error)})
         finally:
             self._running = False
-            self._next = self._replica.clock.monotonic() + _REPAIR_INTERVAL
+            self._next_attempt = (
+                self._replica.clock.monotonic() + _REPAIR_INTERVAL_SECONDS
+            )
 
-    def _plan(self) -> tuple[ReplicaId, HostId] | None:
+    def _choose_repair(self) -> tuple[ReplicaId, HostId] | None:
         replica = self._replica
         core = replica.core
-        limit = replica.pace.repair / replica.pace.tick
-        lost = [(core.silence(voter), voter) for voter in core.configuration.voters]
-        hosts = [host for host in replica.founding.known if _has_fresh(replica, host)]
-        for _, voter in lost:
-            # Failure: a voter's disk was emptied and its host is back under another
-            # identity. The old one can never answer again, so nothing is gained by
-            # waiting out a silence, in which a second loss would stop all changes.
-            if replica.pace.readmit and replica_host(voter) in hosts:
+        max_silence = replica.options.repair_after / replica.options.tick_seconds
+        silences = [(core.silence(voter), voter) for voter in core.configuration.voters]
+        hosts = [
+            host for host in replica.founding.known if _has_new_replica(replica, host)
+        ]
+        for _, voter in silences:
+            # Failure: a voter's disk was emptied and its host has returned under a new
+            # identity. The old one can never answer again, so waiting for the silence
+            # would only add time in which a second loss blocks all changes.
+            if replica.options.replace_emptied and replica_host(voter) in hosts:
                 return voter, replica_host(voter)
-        silent = [found for found in lost if found[0] >= limit]
+        silent = [found for found in silences if found[0] >= max_silence]
         if not silent or not hosts:
             return None
         return max(silent)[1], sorted(hosts)[0]
 
 
-async def _take_in(replica: "LogReplica", fresh: ReplicaId) -> None:
+async def _add_and_catch_up(replica: "LogReplica", new: ReplicaId) -> None:
     current = replica.core.configuration
-    if fresh not in current.voters and fresh not in current.learners:
-        await replica.change_configuration(configuration.add_learner(current, fresh))
-    limit = replica.clock.monotonic() + REPLACE_LIMIT
-    while fresh not in replica.core.configuration.voters:
-        if replica.core.is_caught_up(fresh):
+    if new not in current.voters and new not in current.learners:
+        await replica.change_configuration(configuration.add_learner(current, new))
+    deadline = replica.clock.monotonic() + REPLACE_TIMEOUT_SECONDS
+    while new not in replica.core.configuration.voters:
+        if replica.core.is_caught_up(new):
             return
-        # Failure: the new replica is gone again. Waiting for it would keep every other
-        # repair back for as long.
-        if fresh != replica.name and not _is_heard(replica, replica_host(fresh)):
+        # Failure: the new replica has stopped. Waiting for it would delay every other
+        # repair by as long.
+        if new != replica.name and not _is_recent(replica, replica_host(new)):
             raise Unavailable(
-                f"replica {fresh} is gone before it has caught up",
+                f"replica {new} stopped answering before it had caught up",
                 "check its host, or name another one",
                 code=ErrorCode.NO_QUORUM,
             )
-        if replica.clock.monotonic() >= limit or not replica.is_leader():
+        if replica.clock.monotonic() >= deadline or not replica.is_leader():
             raise Unavailable(
-                f"replica {fresh} has not caught up with the log",
-                "check the new host and its links, then ask again",
+                f"replica {new} has not caught up with the log",
+                "check the new host and its links, then repeat the command",
                 code=ErrorCode.NO_QUORUM,
             )
-        await asyncio.sleep(replica.pace.tick)
+        await asyncio.sleep(replica.options.tick_seconds)
 
 
-async def _promote(replica: "LogReplica", fresh: ReplicaId) -> None:
-    if fresh in replica.core.configuration.voters:
+async def _promote(replica: "LogReplica", new: ReplicaId) -> None:
+    if new in replica.core.configuration.voters:
         return
-    # the change before it may not have reached the new replica yet
-    limit = replica.clock.monotonic() + _PROMOTE_LIMIT
-    while not replica.core.is_caught_up(fresh) and replica.clock.monotonic() < limit:
-        await asyncio.sleep(replica.pace.tick)
+    # the new replica may not have received the previous change yet
+    deadline = replica.clock.monotonic() + _PROMOTE_TIMEOUT_SECONDS
+    while not replica.core.is_caught_up(new) and replica.clock.monotonic() < deadline:
+        await asyncio.sleep(replica.options.tick_seconds)
     current = replica.core.configuration
-    await replica.change_configuration(configuration.promote(current, fresh))
+    await replica.change_configuration(configuration.promote(current, new))
 
 
-async def _take_out(replica: "LogReplica", lost: ReplicaId) -> None:
+async def _remove(replica: "LogReplica", lost: ReplicaId) -> None:
     current = replica.core.configuration
     if lost in current.voters or lost in current.learners:
         await replica.change_configuration(configuration.remove(current, lost))
 
 
-def _find_fresh(replica: "LogReplica", lost: ReplicaId, host: HostId) -> ReplicaId:
+def _find_new_replica(
+    replica: "LogReplica", lost: ReplicaId, host: HostId
+) -> ReplicaId:
     if host == replica_host(replica.name) and lost != replica.name:
-        # the new replica itself leads when a replaced leader has handed over to it
+        # a replaced leader may have transferred the leadership to the new replica
         return replica.name
     known = replica.founding.known.get(host)
-    # Failure: a host is started anew with an empty folder, and the last that was
-    # heard from it is the lost replica's own introduction. Taken for the new one it
-    # would be removed as its own replacement, and the set would be one short.
-    if known is None or known.replica == lost or not _is_heard(replica, host):
+    # Failure: a host was restarted with an empty folder, but its latest introduction
+    # still is that of the lost replica. Chosen as the new one, the lost replica would
+    # be removed as its own replacement, and the set would be one voter short.
+    if known is None or known.replica == lost or not _is_recent(replica, host):
         raise Unavailable(
             f"no new replica answers on host {host}",
-            "name a host of [peers] or [spares] and start ibishead-control there "
+            "name a host from [peers] or [spares] and start ibishead-control there "
             "with an empty data folder",
             code=ErrorCode.NO_QUORUM,
         )
     return known.replica
 
 
-def _check_size(replica: "LogReplica", lost: ReplicaId, fresh: ReplicaId) -> None:
-    """Refuse to remove a voter where no other takes its place.
+def _check_size(replica: "LogReplica", lost: ReplicaId, new: ReplicaId) -> None:
+    """Refuse to remove a voter if the new replica doesn't add one.
 
-    An even set is one in the middle of a replacement, which may be asked for again.
+    An even number of voters means that a replacement was interrupted, and it may be
+    repeated.
     """
     voters = replica.core.configuration.voters
-    if fresh in voters and lost in voters and len(voters) % 2:
+    if new in voters and lost in voters and len(voters) % 2:
         raise Conflict(
-            f"replica {fresh} counts already",
+            f"replica {new} is a voter already",
             "name a host that runs a new replica or a spare",
         )
 
 
-def _has_fresh(replica: "LogReplica", host: HostId) -> bool:
+def _has_new_replica(replica: "LogReplica", host: HostId) -> bool:
     known = replica.founding.known[host]
     is_voter = known.replica in replica.core.configuration.voters
-    return _is_heard(replica, host) and not is_voter
+    return _is_recent(replica, host) and not is_voter
 
 
-def _is_heard(replica: "LogReplica", host: HostId) -> bool:
+def _is_recent(replica: "LogReplica", host: HostId) -> bool:
     known = replica.founding.known[host]
-    return replica.clock.monotonic() - known.heard < _HEARD_LIMIT
+    return (
+        replica.clock.monotonic() - known.introduced_at < _INTRODUCTION_TIMEOUT_SECONDS
+    )
--- a/src/ibishead/control/replica.py
+++ b/src/ibishead/control/replica.py
@@ -1,4 +1,4 @@
-"""One replica of the control log, as the rest of the control program uses it."""
+"""A replica of the control log, as used by the rest of the control program."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 from ibishead.clock import Clock
 from ibishead.control import repair
 from ibishead.control.consensus import Consensus
-from ibishead.control.driver import DataFiles, LogDriver, Pace, PeerSender
+from ibishead.control.driver import DataFiles, LogDriver, PeerSender, ReplicaOptions
 from ibishead.control.founding import Founding
 from ibishead.control.identity import (
     Identity,
@@ -34,10 +34,10 @@
 from ibishead.control.peers import Configuration
 from ibishead.control.raftstate import Role, has_quorum
 from ibishead.control.waiters import (
-    NUMBERS,
-    Answers,
-    describe_no_quorum,
-    describe_unknown,
+    FIRST_NUMBER_BOUND,
+    PendingQuestions,
+    make_no_quorum_error,
+    make_unknown_outcome_error,
 )
 from ibishead.errors import ErrorCode, IbisheadError, StorageFault, Unavailable
 from ibishead.ids import HostId, LogIndex, ReplicaId
@@ -49,19 +49,19 @@
 
 _T = TypeVar("_T")
 
-#: Seconds between two introductions to each other host.
-INTRODUCE_INTERVAL = 0.5
+#: Interval of the introductions to each other host, in seconds.
+INTRODUCE_INTERVAL_SECONDS = 0.5
 
 
 class LogReplica:
-    """A `Replica` with its log on a disk.
+    """A `Replica` that stores its log on disk.
 
     :param host: this replica's name in the settings.
-    :param first_hosts: names of the first voters in the settings.
-    :param draw: returns a number from 0 up to its argument, less one.
-    :param draw_name: returns text that no two calls anywhere return alike.
-    :param on_failure: called once, when the disk has failed and nothing goes on.
-    :raises StorageFault: the folder is damaged.
+    :param first_hosts: names of the initial voters in the settings.
+    :param draw: returns a random integer from 0 to its argument minus one.
+    :param draw_name: returns a globally unique string on each call.
+    :param on_failure: called once, when the disk has failed and the replica stops.
+    :raises StorageFault: the data folder is damaged.
     """
 
     def __init__(
@@ -74,10 +74,10 @@
         clock: Clock,
         draw: Callable[[int], int],
         draw_name: Callable[[], str],
-        pace: Pace | None = None,
+        options: ReplicaOptions | None = None,
         on_failure: Callable[[StorageFault], None] = lambda fault: None,
     ) -> None:
-        self.pace = pace or Pace()
+        self.options = options or ReplicaOptions()
         self.clock = clock
         self.founding = Founding(first_hosts, draw_name)
         self._files = files
@@ -90,134 +90,141 @@
             links,
             clock,
             draw,
-            self.pace,
+            self.options,
             on_failure,
         )
         self._reader = FrameReader()
-        self._answers = Answers(draw(NUMBERS))
-        self._reads = 0
-        self._introduced = 0.0
+        self._answers = PendingQuestions(draw(FIRST_NUMBER_BOUND))
+        self._read_count = 0
+        self._introduced_at = 0.0
         self._linked_rounds = 0
-        self._led_at = clock.monotonic()
-        self._repair = repair.Watch(self)
+        self._leader_seen_at = clock.monotonic()
+        self._repair = repair.RepairMonitor(self)
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def name(self) -> ReplicaId:
-        """This replica's identity in the log."""
+        """This replica's id in the replica set."""
         return self._identity.replica
 
     @property
     def core(self) -> Consensus:
-        """The consensus, caught up with the clock."""
+        """The consensus, advanced to the current time."""
         self._driver.advance()
         return self._driver.core
 
     async def start(self) -> None:
-        """Begin to take part."""
+        """Start to participate in the consensus."""
         self._links.start()
         self._driver.schedule_flush()
         self._spawn(self._run())
 
     async def propose(self, command: bytes, *, applied: bool = True) -> bytes:
-        """Return the command's result, once committed.
+        """Propose a command, and return its result once it is committed.
 
-        :param applied: wait until it is applied here too.
-        :raises Unavailable: code ``NO_QUORUM`` when it was not taken, or
-            ``OUTCOME_UNKNOWN`` when nothing is known of it.
-        :raises StorageFault: code ``STORAGE_FULL``; it was not taken.
+        :param applied: also wait until this replica has applied it.
+        :raises Unavailable: code ``NO_QUORUM`` if the command was not accepted, or
+            ``OUTCOME_UNKNOWN`` if it may have been.
+        :raises StorageFault: code ``STORAGE_FULL``; the command was not accepted.
         """
         if self.is_leader():
             return (await self._propose_here(command))[1]
-        answer = await self._ask(lambda number: Forward(number, command))
+        answer = await self._request_leader(lambda number: Forward(number, command))
         if applied:
-            await self._bound(self._driver.waiters.reach(answer.index))
+            await self._with_timeout(self._driver.waiters.wait_applied(answer.index))
         return answer.result
 
     async def confirm_read(self) -> None:
-        """Return once the local state holds all that was accepted before the call.
+        """Return once the local state includes all changes accepted before the call.
 
         :raises Unavailable: code ``NO_QUORUM``.
         """
         try:
             if self.is_leader():
-                index = await self._bound(self._read_here())
+                index = await self._with_timeout(self._read_here())
             else:
-                index = (await self._ask(AskRead)).index
-            await self._bound(self._driver.waiters.reach(index))
+                index = (await self._request_leader(AskRead)).index
+            await self._with_timeout(self._driver.waiters.wait_applied(index))
         except Unavailable as error:
             raise self._describe_no_quorum() from error
 
     def lease(self) -> float:
-        """Return the seconds for which this replica may vouch for its state."""
+        """Return the seconds for which this replica's state counts as current."""
         return self._driver.lease()
 
     def leader(self) -> ReplicaId | None:
-        """Return the leader this replica follows, itself included."""
+        """Return the current leader, possibly this replica, or None."""
         return self.core.leader
 
     def expects_leader(self) -> bool:
-        """Return whether a leader is known or may be within the time of an election.
+        """Return whether a leader is known or likely to be elected soon.
 
-        A replica that is cut off has no leader for as long as that lasts, while an
-        election ends soon after the leader is lost. Until the log is founded one is
-        always expected.
+        A partitioned replica has no leader for as long as the partition lasts, while an
+        election ends soon after the loss of the leader. So no leader is expected after
+        an election timeout without one. Until the cluster is founded, one is always
+        expected.
         """
         core = self.core
         if core.leader is not None or not core.configuration.voters:
             return True
-        return self.clock.monotonic() - self._led_at <= self.pace.election
+        return (
+            self.clock.monotonic() - self._leader_seen_at
+            <= self.options.election_timeout
+        )
 
     def is_leader(self) -> bool:
-        """Return whether this replica leads and its quorum still answers."""
+        """Return whether this replica is a leader whose quorum still answers."""
         return self.core.role is Role.LEADER and not self._driver.failed
 
     def replicas(self) -> ReplicaSet:
-        """Return the replica set in force."""
+        """Return the latest replica set in the log."""
         found = self.core.configuration
         return ReplicaSet(found.voters, found.learners)
 
-    def count_reached(self) -> tuple[int, int]:
-        """Return how many voters a link leads to, itself included, and all voters."""
+    def count_linked_voters(self) -> tuple[int, int]:
+        """Return the number of reachable voters and the number of all voters.
+
+        Reachable are those to which a link is open, and this replica itself.
+        """
         return len(self._list_linked()), len(self.core.configuration.voters)
 
     async def transfer(self) -> None:
-        """Hand the leadership to the replica that is furthest along.
+        """Transfer the leadership to the replica with the most complete log.
 
-        :raises Unavailable: no other replica took it in time.
+        :raises Unavailable: no other replica took over in time.
         """
         if not self.is_leader():
             return
         successor = self.core.transfer()
         self._driver.schedule_flush()
-        limit = self.clock.monotonic() + 2 * self.pace.election
-        while successor is not None and self.clock.monotonic() < limit:
+        deadline = self.clock.monotonic() + 2 * self.options.election_timeout
+        while successor is not None and self.clock.monotonic() < deadline:
             if self.core.leader not in (None, self.name):
                 return
-            await asyncio.sleep(self.pace.tick / 5)
+            await asyncio.sleep(self.options.tick_seconds / 5)
         raise Unavailable(
-            "no other replica took the leadership",
+            "no other replica took over the leadership",
             "check with `ibishead status` that the other replicas run",
             code=ErrorCode.NO_QUORUM,
         )
 
     async def change_replicas(self, lost: ReplicaId, host: HostId) -> ReplicaId:
-        """Replace a replica by a new one on the host, and return the new one's id.
+        """Replace a replica by a new one on a host, and return the new one's id.
 
-        :raises Unavailable: no quorum, or the host can't be reached.
-        :raises Conflict: another change of the replica set is under way.
+        :raises Unavailable: there is no quorum, or the host can't be reached.
+        :raises Conflict: another change of the replica set is in progress.
         """
         if self.is_leader():
             return await repair.replace(self, lost, host)
-        answer = await self._ask(
+        answer = await self._request_leader(
             lambda number: AskReplace(number, lost, host),
-            repair.REPLACE_LIMIT,
+            repair.REPLACE_TIMEOUT_SECONDS,
             outlives_lead=True,
         )
         return answer.replica
 
     async def change_configuration(self, wanted: Configuration) -> None:
-        """Change the replica set by one replica, and return once that is committed."""
+        """Change the replica set by one replica; return once that is committed."""
         core = self.core
         index = core.propose_configuration(wanted)
         await self._driver.wait_for(index, core.term)
@@ -232,17 +239,17 @@
         await self._links.stop()
         self._files.close()
 
-    def take_frame(self, frame: PeerFrame) -> None:
-        """Take in what another replica sent to this one's link server."""
+    def receive_frame(self, frame: PeerFrame) -> None:
+        """Process a frame that another replica sent to this one's link server."""
         if self._driver.failed or frame.receiver not in (self.name, ""):
             return
-        # what waited during a freeze must not be acted on before the ticks are
+        # after a suspension, process the missed ticks before the queued messages
         self._driver.advance()
         message = self._reader.read(frame)
         if isinstance(message, Introduce):
-            self._meet(frame, message)
+            self._handle_introduction(frame, message)
         elif message is not None and self._accept_cluster(frame):
-            self._take(frame.sender, message)
+            self._handle_message(frame.sender, message)
 
     @property
     def _identity(self) -> Identity:
@@ -251,12 +258,12 @@
     # Proposals and reads -----------------------------------------------------
 
     async def _propose_here(self, command: bytes) -> tuple[LogIndex, bytes]:
-        if not self._driver.has_room():
+        if not self._driver.has_space():
             raise StorageFault(
                 "the disk of the control log is full",
-                "free some room on it; nothing that was accepted is lost",
+                "free some space on it; nothing that was accepted is lost",
                 code=ErrorCode.STORAGE_FULL,
-                retry_after=timedelta(seconds=self.pace.answer),
+                retry_after=timedelta(seconds=self.options.answer_timeout),
             )
         core = self.core
         index = core.propose([command])
@@ -265,8 +272,8 @@
         return index, await self._driver.wait_for(index, core.term)
 
     async def _read_here(self) -> LogIndex:
-        self._reads += 1
-        number = self._reads
+        self._read_count += 1
+        number = self._read_count
         future: asyncio.Future[LogIndex | None]
         future = asyncio.get_running_loop().create_future()
         self._driver.reads[number] = future
@@ -280,50 +287,58 @@
             raise self._describe_no_quorum()
         return index
 
-    async def _ask(
+    async def _request_leader(
         self,
-        make: Callable[[int], ReplicaMessage],
-        limit: float | None = None,
+        make_message: Callable[[int], ReplicaMessage],
+        timeout_seconds: float | None = None,
         *,
         outlives_lead: bool = False,
     ) -> Any:
         leader = self.core.leader
         if leader is None or leader == self.name or self._driver.failed:
             raise self._describe_no_quorum()
-        number, future = self._answers.open(leader, outlives_lead=outlives_lead)
+        number, future = self._answers.open(leader, outlives_leadership=outlives_lead)
         try:
-            if not self._links.send(self._identity, leader, make(number)):
+            if not self._links.send(self._identity, leader, make_message(number)):
                 raise self._describe_no_quorum()
-            return await self._bound(future, limit)
+            return await self._with_timeout(future, timeout_seconds)
         finally:
             self._answers.close(number)
 
-    async def _bound(self, waiting: Awaitable[_T], limit: float | None = None) -> _T:
+    async def _with_timeout(
+        self, result: Awaitable[_T], timeout_seconds: float | None = None
+    ) -> _T:
         try:
-            async with asyncio.timeout(limit or self.pace.answer):
-                return await waiting
+            async with asyncio.timeout(timeout_seconds or self.options.answer_timeout):
+                return await result
         except TimeoutError as error:
-            raise describe_unknown() from error
+            raise make_unknown_outcome_error() from error
 
     def _describe_no_quorum(self) -> Unavailable:
-        ticks = self.pace.timing.election + self._draw(self.pace.timing.election)
-        return describe_no_quorum(ticks * self.pace.tick)
+        ticks = self.options.timing.election + self._draw(self.options.timing.election)
+        return make_no_quorum_error(ticks * self.options.tick_seconds)
 
     # Other replicas ----------------------------------------------------------
 
-    def _take(self, sender: ReplicaId, message: ReplicaMessage) -> None:
+    def _handle_message(self, sender: ReplicaId, message: ReplicaMessage) -> None:
         match message:
             case Forward(number, command):
-                self._spawn(self._serve(sender, number, self._forward(number, command)))
+                self._spawn(
+                    self._answer_request(
+                        sender, number, self._serve_forward(number, command)
+                    )
+                )
             case AskRead(number):
-                self._spawn(self._serve(sender, number, self._tell_index(number)))
+                self._spawn(
+                    self._answer_request(sender, number, self._serve_read(number))
+                )
             case AskReplace(number, lost, host):
-                work = self._tell_replaced(number, lost, host)
-                self._spawn(self._serve(sender, number, work))
+                coroutine = self._serve_replace(number, lost, host)
+                self._spawn(self._answer_request(sender, number, coroutine))
             case Forwarded(number) | ReadAnswer(number) | Replaced(number):
                 self._answers.settle(number, message)
             case Refuse(number, code, reason, remedy):
-                wait = timedelta(seconds=self.pace.election)
+                wait = timedelta(seconds=self.options.election_timeout)
                 error = Unavailable(reason, remedy, code=code, retry_after=wait)
                 self._answers.settle(number, error)
             case Introduce():
@@ -331,28 +346,28 @@
             case _:
                 self._driver.step(sender, message)
 
-    async def _serve(
+    async def _answer_request(
         self,
         sender: ReplicaId,
         number: int,
-        work: Coroutine[Any, Any, ReplicaMessage],
+        coroutine: Coroutine[Any, Any, ReplicaMessage],
     ) -> None:
         try:
-            answer = await work
+            answer = await coroutine
         except IbisheadError as error:
             answer = Refuse(number, error.code, error.message, error.remedy)
         self._links.send(self._identity, sender, answer)
 
-    async def _forward(self, number: int, command: bytes) -> ReplicaMessage:
+    async def _serve_forward(self, number: int, command: bytes) -> ReplicaMessage:
         if not self.is_leader():
             raise self._describe_no_quorum()
         index, result = await self._propose_here(command)
         return Forwarded(number, index, result)
 
-    async def _tell_index(self, number: int) -> ReplicaMessage:
-        return ReadAnswer(number, await self._bound(self._read_here()))
+    async def _serve_read(self, number: int) -> ReplicaMessage:
+        return ReadAnswer(number, await self._with_timeout(self._read_here()))
 
-    async def _tell_replaced(
+    async def _serve_replace(
         self, number: int, lost: ReplicaId, host: HostId
     ) -> ReplicaMessage:
         if not self.is_leader():
@@ -361,18 +376,19 @@
 
     def _accept_cluster(self, frame: PeerFrame) -> bool:
         if not self._identity.cluster and frame.cluster and frame.receiver:
-            # a leader knows this very identity, so it has taken this replica in
+            # the frame is addressed to this identity, so a leader has added it to the
+            # cluster
             self._join(Identity(self.name, frame.cluster))
         return bool(frame.cluster) and frame.cluster == self._identity.cluster
 
-    def _meet(self, frame: PeerFrame, message: Introduce) -> None:
+    def _handle_introduction(self, frame: PeerFrame, message: Introduce) -> None:
         if frame.sender == self.name:
             return
         now = self.clock.monotonic()
-        self.founding.note(frame.sender, frame.cluster, now)
+        self.founding.record_introduction(frame.sender, frame.cluster, now)
         own = self._identity
-        joined = self.founding.join(own, frame.cluster, message.founders)
-        self._join(joined or self.founding.found(own))
+        joined = self.founding.join_cluster(own, frame.cluster, message.founders)
+        self._join(joined or self.founding.found_cluster(own))
 
     def _join(self, identity: Identity | None) -> None:
         if identity is None:
@@ -386,44 +402,46 @@
         self._introduce()
 
     def _introduce(self) -> None:
-        self._introduced = self.clock.monotonic()
+        self._introduced_at = self.clock.monotonic()
         for host in self._links.hosts:
             self._links.introduce(self._identity, host)
 
-    # Time --------------------------------------------------------------------
+    # Periodic work -----------------------------------------------------------
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(self.pace.tick)
+            await asyncio.sleep(self.options.tick_seconds)
             with contextlib.suppress(IbisheadError):
-                self._do_round()
+                self._run_round()
             if self.core.leader is not None:
-                self._led_at = self.clock.monotonic()
+                self._leader_seen_at = self.clock.monotonic()
             elif not self.expects_leader():
-                # whoever waits may ask elsewhere; a hand-over takes less than this
+                # fail all waiting callers, so that they can ask another replica; a
+                # transfer of the leadership takes less time than this
                 self._driver.waiters.fail()
                 self._answers.fail()
 
-    def _do_round(self) -> None:
+    def _run_round(self) -> None:
         self._driver.advance()
-        if self.clock.monotonic() - self._introduced >= INTRODUCE_INTERVAL:
+        if self.clock.monotonic() - self._introduced_at >= INTRODUCE_INTERVAL_SECONDS:
             self._introduce()
-            self._join(self.founding.found(self._identity))
+            self._join(self.founding.found_cluster(self._identity))
         self._answers.fail_lost(self.core.leader, self._reaches)
-        self._hasten_election()
+        self._campaign_early()
         if not self.is_leader():
             return
         if self._repair.is_due():
             self._spawn(self._repair.run())
-        elif (learner := self._repair.find_missing()) is not None:
+        elif (learner := self._repair.find_promotable()) is not None:
             self._spawn(self._repair.promote(learner))
         elif (spare := self._repair.find_spare()) is not None:
-            self._spawn(self._repair.take_spare(spare))
+            self._spawn(self._repair.add_spare(spare))
 
-    def _hasten_election(self) -> None:
-        """Let the voters that are linked ask for votes one after the other.
+    def _campaign_early(self) -> None:
+        """Start an early pre-vote when it is this replica's turn.
 
-        One a round, so that two that start together don't share the votes.
+        The voters that are linked to a quorum do so in the order of their ids, one per
+        round, so that two that start together don't split the votes.
         """
         linked = self._list_linked()
         quorum = has_quorum(self.core.configuration.voters, linked)
@@ -431,7 +449,7 @@
             self._linked_rounds = 0
             return
         if self._linked_rounds == sorted(linked).index(self.name):
-            self.core.hasten()
+            self.core.campaign_early()
             self._driver.schedule_flush()
         self._linked_rounds += 1
 
@@ -442,7 +460,7 @@
     def _reaches(self, replica: ReplicaId) -> bool:
         return self._links.reaches(replica_host(replica))
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/src/ibishead/control/replication.py
+++ b/src/ibishead/control/replication.py
@@ -1,4 +1,4 @@
-"""How a leader brings its log to the others, and what it may say is committed."""
+"""Log replication from the leader to its followers, commitment, reads and leases."""
 
 from collections.abc import Iterable
 
@@ -30,7 +30,7 @@
     "handle_append",
     "handle_append_answer",
     "handle_install",
-    "hand_over",
+    "send_take_over",
     "quorum_age",
 ]
 
@@ -39,47 +39,50 @@
 
 
 def append_command(state: RaftState, kind: EntryKind, data: bytes) -> LogIndex:
-    """Add an entry of the leader's term, and return its index."""
+    """Append an entry of the leader's current term, and return its index."""
     index = LogIndex(state.log.last_index + 1)
     state.append([Entry(index, state.term, kind, data)])
     state.heartbeat_due = True
     if kind is EntryKind.CONFIGURATION:
-        _follow_configuration(state)
+        _update_peers(state)
     return index
 
 
 def append_empty(state: RaftState) -> None:
-    """Begin a term with an entry that commits its predecessors' entries."""
+    """Append the empty entry that starts a leader's term.
+
+    Its commitment also commits all entries of earlier terms before it.
+    """
     state.own_term_index = append_command(state, EntryKind.EMPTY, b"")
 
 
 def broadcast(state: RaftState) -> None:
-    """Send everyone what is new, at least a heartbeat."""
+    """Send new entries to all peers, or a heartbeat where there are none."""
     state.heartbeat_due = False
     for peer in state.peers:
         _send_append(state, peer, state.progress[peer])
 
 
 def begin_read(state: RaftState, context: int) -> None:
-    """Note a read, to be confirmed by the next heartbeat round.
+    """Register a read, to be confirmed by the next heartbeat round.
 
-    An old leader that doesn't know of its successor would serve state that others
-    have overwritten; the round proves that it still led after the read had begun.
+    A deposed leader that doesn't know of its successor would return outdated state. An
+    answered round proves that it still led after the read was requested.
     """
     if state.commit < state.own_term_index:
-        # a new leader doesn't know yet how far its predecessors had committed
-        state.early_reads.append(context)
+        # a new leader doesn't know yet what its predecessors had committed
+        state.deferred_reads.append(context)
         return
     state.round += 1
     state.reads.append(PendingRead(context, state.commit, state.round))
     state.heartbeat_due = True
-    _answer_reads(state)
+    _complete_reads(state)
 
 
 def handle_append_answer(
     state: RaftState, sender: ReplicaId, answer: AppendAnswer
 ) -> None:
-    """Take in how far a follower is."""
+    """Update the progress of a follower from its answer."""
     progress = state.progress.get(sender)
     if progress is None or answer.term != state.term:
         return
@@ -87,18 +90,19 @@
     progress.echo = max(progress.echo, answer.sent_tick)
     progress.round = max(progress.round, answer.round)
     if answer.accepted:
-        _take_match(state, sender, progress, answer.index)
+        _record_match(state, sender, progress, answer.index)
     elif answer.index > progress.match:
-        _step_back(state, progress, answer)
+        _backtrack(state, progress, answer)
         _send_append(state, sender, progress)
-    _answer_reads(state)
+    _complete_reads(state)
 
 
 def advance_commit(state: RaftState) -> None:
-    """Raise the commit index to what a quorum holds on disk.
+    """Raise the commit index to the last entry that is durable on a quorum.
 
-    Only an entry of the leader's own term may be counted: an older one on a quorum
-    can still be overwritten by a leader that never saw it.
+    Only entries of the leader's own term are committed by counting replicas: an entry
+    of an older term can be on a quorum and still be overwritten by a leader that
+    doesn't have it.
     """
     matches = [
         state.durable if voter == state.replica else state.progress[voter].match
@@ -108,11 +112,11 @@
     if index > state.commit and state.log.term_at(index) == state.term:
         state.commit = LogIndex(index)
         state.heartbeat_due = True
-        _begin_early_reads(state)
+        _begin_deferred_reads(state)
 
 
 def quorum_age(state: RaftState) -> int:
-    """Return the ticks since which a quorum is known to have followed this leader."""
+    """Return the ticks since a quorum last followed this leader for certain."""
     contacts = [
         state.now if voter == state.replica else state.progress[voter].contact
         for voter in state.configuration.voters
@@ -120,8 +124,11 @@
     return state.now - quorum_value(contacts)
 
 
-def hand_over(state: RaftState) -> None:
-    """Ask the chosen successor to take over, once it holds the whole log."""
+def send_take_over(state: RaftState) -> None:
+    """Ask the chosen successor to take over once it holds the whole log.
+
+    The transfer is abandoned at its deadline.
+    """
     successor = state.successor
     if successor is None:
         return
@@ -131,40 +138,40 @@
         state.send(successor, TakeOver(state.term))
 
 
-def _follow_configuration(state: RaftState) -> None:
-    following = state.log.last_index + 1
+def _update_peers(state: RaftState) -> None:
+    next_index = state.log.last_index + 1
     members = state.peers
     for peer in members:
-        state.progress.setdefault(peer, Progress(following))
-    for gone in set(state.progress).difference(members):
-        del state.progress[gone]
+        state.progress.setdefault(peer, Progress(next_index))
+    for removed in set(state.progress).difference(members):
+        del state.progress[removed]
 
 
-def _take_match(
+def _record_match(
     state: RaftState, peer: ReplicaId, progress: Progress, index: LogIndex
 ) -> None:
-    progress.installing = -1
-    moved = index > progress.match
-    if moved:
+    progress.snapshot_tick = -1
+    advanced = index > progress.match
+    if advanced:
         progress.match = index
     progress.next = max(progress.next, index + 1)
     if progress.probing and index + 1 >= progress.next:
         progress.probing = False
-    if moved:
+    if advanced:
         advance_commit(state)
-        hand_over(state)
+        send_take_over(state)
     if progress.next <= min(state.log.last_index, progress.match + state.timing.window):
         _send_append(state, peer, progress)
 
 
-def _step_back(state: RaftState, progress: Progress, answer: AppendAnswer) -> None:
-    following = answer.hint_index
+def _backtrack(state: RaftState, progress: Progress, answer: AppendAnswer) -> None:
+    next_index = answer.hint_index
     if answer.hint_term:
         found = state.log.last_of_term(answer.hint_term, answer.index + 1)
         if found is not None:
-            following = LogIndex(found + 1)
-    following = min(following, answer.index)
-    progress.next = max(following, progress.match + 1)
+            next_index = LogIndex(found + 1)
+    next_index = min(next_index, answer.index)
+    progress.next = max(next_index, progress.match + 1)
     progress.probing = True
 
 
@@ -196,22 +203,22 @@
 
 
 def _send_snapshot(state: RaftState, peer: ReplicaId, progress: Progress) -> None:
-    waited = state.now - progress.installing
-    if progress.installing >= 0 and waited < state.timing.election:
+    elapsed = state.now - progress.snapshot_tick
+    if progress.snapshot_tick >= 0 and elapsed < state.timing.election:
         return
-    progress.installing = state.now
+    progress.snapshot_tick = state.now
     state.send(peer, Install(state.term, state.log.snapshot, state.round, state.now))
 
 
-def _begin_early_reads(state: RaftState) -> None:
+def _begin_deferred_reads(state: RaftState) -> None:
     if state.commit < state.own_term_index:
         return
-    waiting, state.early_reads = state.early_reads, []
+    waiting, state.deferred_reads = state.deferred_reads, []
     for context in waiting:
         begin_read(state, context)
 
 
-def _answer_reads(state: RaftState) -> None:
+def _complete_reads(state: RaftState) -> None:
     rounds = [
         state.round if voter == state.replica else state.progress[voter].round
         for voter in state.configuration.voters
@@ -226,10 +233,10 @@
 
 
 def handle_append(state: RaftState, sender: ReplicaId, message: Append) -> None:
-    """Take entries from the leader, or say where the logs part."""
-    _note_lease(state, message)
+    """Append entries from the leader, or answer where the logs diverge."""
+    _record_lease(state, message)
     if message.prev_index < state.commit:
-        # committed entries can't differ, so say what is held and skip the rest
+        # committed entries can't conflict: acknowledge those and ignore the message's
         _accept(state, sender, message, state.commit)
         return
     if state.log.term_at(message.prev_index) != message.prev_term:
@@ -242,7 +249,7 @@
 
 
 def handle_install(state: RaftState, sender: ReplicaId, message: Install) -> None:
-    """Take the leader's snapshot where it is ahead of what was applied."""
+    """Install the leader's snapshot if it is ahead of the commit index."""
     if message.snapshot.index > state.commit:
         state.install(message.snapshot)
     _accept(state, sender, message, state.commit)
@@ -256,7 +263,7 @@
         return
     if rest[0].index <= state.commit:
         raise StorageFault(
-            f"the leader contradicts committed entry {rest[0].index}",
+            f"the leader's entry {rest[0].index} conflicts with a committed entry",
             "stop this replica, give it an empty data folder and run "
             "`ibishead replace` for it",
         )
@@ -294,11 +301,12 @@
     state.send(leader, answer)
 
 
-def _note_lease(state: RaftState, message: Append) -> None:
-    """Count the lease from the tick of one's own that the leader has seen.
+def _record_lease(state: RaftState, message: Append) -> None:
+    """Record the lease that starts at the latest own tick that the leader echoed.
 
-    A message may have been on its way for long, so its arrival proves nothing; the
-    echo proves that the leader still had its quorum after that tick.
+    A message may have been delayed, so its arrival time proves nothing. The echo proves
+    that the message was sent after that tick, and ``quorum_age`` says how many ticks
+    before it was sent a quorum still followed the leader.
     """
     if message.echo_tick < 0:
         return
--- a/src/ibishead/control/storage.py
+++ b/src/ibishead/control/storage.py
@@ -1,7 +1,7 @@
-"""The log, the vote and the snapshot of one replica on its disk.
+"""Durable storage of one replica's log, vote and snapshot.
 
-The log is a row of segment files. Each write is one record and is synced before
-`Storage.write` returns; a snapshot lets the segments before it go.
+The log consists of numbered segment files. Each write is one record and is synced
+before `Storage.write` returns. Segments that a snapshot covers are removed.
 """
 
 import logging
@@ -9,12 +9,18 @@
 
 import msgspec
 
-from ibishead.control.consensus import Stored
+from ibishead.control.consensus import PersistentState
 from ibishead.control.folder import Files
-from ibishead.control.identity import Identity, read_whole, write_whole
+from ibishead.control.identity import Identity, read_checked, write_atomically
 from ibishead.control.peers import Configuration, Entry, Snapshot
 from ibishead.control.raftstate import Write
-from ibishead.control.records import DamagedRecord, Record, TornTail, frame, split
+from ibishead.control.records import (
+    DamagedRecord,
+    Record,
+    TornTail,
+    decode_records,
+    encode_record,
+)
 from ibishead.errors import ErrorCode, StorageFault
 from ibishead.ids import LogIndex, ReplicaId, Term
 
@@ -23,7 +29,7 @@
 _LOGGER = logging.getLogger(__name__)
 _SEGMENT = re.compile(r"log-(\d{12})")
 _SNAPSHOT = re.compile(r"snapshot-(\d{20})")
-#: A new segment begins behind this size in bytes, so that old ones can be dropped.
+#: Size in bytes beyond which a new segment is started, so that old ones can be removed.
 _SEGMENT_BYTES = 8 * 1024 * 1024
 _REMEDY = (
     "keep a copy of the folder, then start this replica with an empty one and run "
@@ -32,9 +38,9 @@
 
 
 class _LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One write: the vote, and entries that replace all from the first one on.
+    """One write: term and vote, and entries that replace all from the first one on.
 
-    :param reset: nothing that stood in the log before counts any more.
+    :param reset: all earlier entries of the log are void.
     """
 
     term: Term
@@ -44,16 +50,17 @@
 
 
 class Storage:
-    """What a replica keeps on its disk.
+    """The durable state of a replica.
 
     :param files: the data folder.
-    :param identity: whose it is; its founders hold before any entry says otherwise.
+    :param identity: the replica's identity; its founders are the voters until the log
+        holds another replica set.
     """
 
     def __init__(self, files: Files, identity: Identity) -> None:
         self._files = files
         self._identity = identity
-        #: Highest entry index in each segment, in order.
+        #: Highest entry index in each segment, by segment number.
         self._segments: dict[int, int] = {}
         self._current = 0
         self._size = 0
@@ -61,16 +68,16 @@
         self._snapshot_index = -1
         self._vote: tuple[Term, ReplicaId | None] = (Term(0), None)
 
-    def load(self) -> Stored:
-        """Return what the disk holds.
+    def load(self) -> PersistentState:
+        """Return the stored state.
 
-        A torn last record was never answered for, so it is cut off.
+        A torn last record was never acknowledged, so it is truncated.
 
         :raises StorageFault: anything else is damaged or missing.
         """
         snapshot = self._load_snapshot()
         entries: list[Entry] = []
-        numbers = _numbers(self._files, _SEGMENT)
+        numbers = _list_numbers(self._files, _SEGMENT)
         if numbers and numbers != list(range(numbers[0], numbers[-1] + 1)):
             raise StorageFault("a log segment is missing", _REMEDY)
         if not numbers and (self._identity.cluster or snapshot.index):
@@ -82,22 +89,22 @@
                 self._vote = (record.term, record.vote)
                 highest = max([highest, *(e.index for e in record.entries)])
             self._segments[number] = highest
-        kept = _entries_after(snapshot, entries)
+        remaining = _entries_after(snapshot, entries)
         if numbers:
             self._current = numbers[-1]
         else:
-            self._begin_segment()
-        if entries and not kept:
-            # what comes next doesn't follow on the entries that were left out
+            self._start_segment()
+        if entries and not remaining:
+            # the next entries won't continue the ones that were discarded here
             self._append(_LogRecord(*self._vote, reset=True))
-        return Stored(*self._vote, snapshot, kept)
+        return PersistentState(*self._vote, snapshot, remaining)
 
     def write(self, write: Write) -> None:
-        """Put a write on the disk, and return once it is synced.
+        """Perform a write, and return once it is synced.
 
-        :raises StorageFault: code ``STORAGE_FULL`` when there was no room, and the
-            same write may be tried again; any other code is final, as nothing is
-            known of the disk any more.
+        :raises StorageFault: code ``STORAGE_FULL`` if the disk is full, and the same
+            write may be retried; any other code is final, as the content of the disk is
+            unknown from then on.
         """
         if self._failed:
             raise StorageFault("the disk has failed before", _REMEDY)
@@ -109,17 +116,17 @@
 
     def _write(self, write: Write) -> None:
         if write.snapshot is not None:
-            self._save_snapshot(write.snapshot)
+            self._store_snapshot(write.snapshot)
         if write.snapshot is not None or self._size > _SEGMENT_BYTES:
-            self._begin_segment()
+            self._start_segment()
         record = _LogRecord(write.term, write.vote, write.entries, write.reset)
         self._append(record)
         self._vote = (write.term, write.vote)
         if write.snapshot is not None:
-            self._drop_covered(write.snapshot.index)
+            self._remove_covered(write.snapshot.index)
 
     def _append(self, record: _LogRecord) -> None:
-        data = frame(msgspec.msgpack.encode(record))
+        data = encode_record(msgspec.msgpack.encode(record))
         name = _segment_name(self._current)
         self._files.append(name, data)
         self._files.sync(name)
@@ -127,40 +134,41 @@
         highest = max([0, *(entry.index for entry in record.entries)])
         self._segments[self._current] = max(self._segments[self._current], highest)
 
-    def _begin_segment(self) -> None:
+    def _start_segment(self) -> None:
         self._current = max(self._segments, default=0) + 1
         self._segments[self._current] = 0
         self._size = 0
-        # the vote goes along, as the segments that hold it may be dropped
+        # repeat term and vote, as the segments that hold them may be removed
         self._append(_LogRecord(*self._vote))
-        self._files.sync_names()
+        self._files.sync_directory()
 
-    def _drop_covered(self, index: LogIndex) -> None:
+    def _remove_covered(self, index: LogIndex) -> None:
         for number in sorted(self._segments):
             if number == self._current or self._segments[number] > index:
                 break
             self._files.remove(_segment_name(number))
-            # in order, lest a crash brings back an old one behind a gap
-            self._files.sync_names()
+            # sync each removal, so that a crash can't restore an older segment only,
+            # which would leave a gap
+            self._files.sync_directory()
             del self._segments[number]
-        for found in _numbers(self._files, _SNAPSHOT):
+        for found in _list_numbers(self._files, _SNAPSHOT):
             if found < index:
                 self._files.remove(_snapshot_name(found))
 
-    def _save_snapshot(self, snapshot: Snapshot) -> None:
+    def _store_snapshot(self, snapshot: Snapshot) -> None:
         if snapshot.index <= self._snapshot_index:
             return
         payload = msgspec.msgpack.encode(snapshot)
-        write_whole(self._files, _snapshot_name(snapshot.index), payload)
+        write_atomically(self._files, _snapshot_name(snapshot.index), payload)
         self._snapshot_index = snapshot.index
 
     def _load_snapshot(self) -> Snapshot:
-        numbers = _numbers(self._files, _SNAPSHOT)
+        numbers = _list_numbers(self._files, _SNAPSHOT)
         if not numbers:
             founding = Configuration(tuple(sorted(self._identity.founders)))
             return Snapshot(LogIndex(0), Term(0), founding)
         self._snapshot_index = numbers[-1]
-        payload = read_whole(self._files, _snapshot_name(numbers[-1]))
+        payload = read_checked(self._files, _snapshot_name(numbers[-1]))
         return msgspec.msgpack.decode(payload, type=Snapshot)
 
     def _read_segment(self, number: int, *, last: bool) -> list[_LogRecord]:
@@ -169,22 +177,22 @@
         self._size = len(data)
         records = []
         try:
-            for found in split(data):
+            for found in decode_records(data):
                 match found:
                     case Record(payload):
                         decoded = msgspec.msgpack.decode(payload, type=_LogRecord)
                         records.append(decoded)
                     case TornTail(offset) if last:
-                        self._cut(name, offset, len(data))
+                        self._truncate_tail(name, offset, len(data))
                     case TornTail(offset):
                         raise DamagedRecord(offset)
         except DamagedRecord as damage:
             raise StorageFault(f"{name}: {damage}", _REMEDY) from damage
         return records
 
-    def _cut(self, name: str, offset: int, size: int) -> None:
+    def _truncate_tail(self, name: str, offset: int, size: int) -> None:
         _LOGGER.warning(
-            "cut off a torn record of %d bytes at byte %d of %s; it was never answered",
+            "truncated a torn record of %d bytes at byte %d of %s, never acknowledged",
             size - offset,
             offset,
             name,
@@ -208,10 +216,10 @@
 
 
 def _entries_after(snapshot: Snapshot, entries: list[Entry]) -> tuple[Entry, ...]:
-    """Return the entries that follow on a snapshot.
+    """Return the entries after a snapshot, none if the log doesn't continue it.
 
-    A crash may have come between a leader's snapshot and the record that resets the
-    log: what is found then conflicts with the snapshot or ends before it.
+    A crash between the storage of a leader's snapshot and the record that resets the
+    log leaves entries that conflict with the snapshot or end before it.
     """
     if not entries or entries[-1].index < snapshot.index:
         return ()
@@ -223,7 +231,7 @@
     return tuple(entries[position + 1 :])
 
 
-def _numbers(files: Files, pattern: re.Pattern[str]) -> list[int]:
+def _list_numbers(files: Files, pattern: re.Pattern[str]) -> list[int]:
     found = [pattern.fullmatch(name) for name in files.names()]
     return sorted(int(match[1]) for match in found if match)
 
--- a/src/ibishead/registry/server.py
+++ b/src/ibishead/registry/server.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from ibishead.clock import Clock
-from ibishead.control.driver import Pace
+from ibishead.control.driver import ReplicaOptions
 from ibishead.control.folder import DataFolder
 from ibishead.control.identity import load_identity, replica_host
 from ibishead.control.peering import PeerLinks
@@ -184,15 +184,15 @@
         def generate_id() -> str:
             return secrets.token_hex(_ID_BYTES)
 
-        pace = Pace(
-            tick=0.1,
-            timing=Timing(heartbeat=2, election=9, first=FIRST_ELECTION_TICKS),
-            answer=0.8,
-            repair=self._settings.repair_after,
-            readmit=True,
-            voters=count_voters(self._settings.losses),
+        pace = ReplicaOptions(
+            tick_seconds=0.1,
+            timing=Timing(heartbeat=2, election=9, first_election=FIRST_ELECTION_TICKS),
+            answer_timeout=0.8,
+            repair_after=self._settings.repair_after,
+            replace_emptied=True,
+            target_voters=count_voters(self._settings.losses),
             snapshot_bytes=SNAPSHOT_BYTES,
-            reserve=DISK_RESERVE_BYTES,
+            reserve_bytes=DISK_RESERVE_BYTES,
         )
         try:
             identity = load_identity(folder, self._settings.host, generate_id)
@@ -237,7 +237,7 @@
             async for message in link.receive():
                 if isinstance(message, PeerFrame):
                     if self.replica is not None:
-                        self.replica.take_frame(message)
+                        self.replica.receive_frame(message)
                 elif not self._publisher.handle_message(link, message):
                     logger.warning(
                         "unexpected message",
@@ -260,5 +260,5 @@
             enough = len(founders) >= wanted or waited >= FULL_SET_TIMEOUT_SECONDS
             if founders and enough and waited >= SETTLE_SECONDS:
                 logger.info("founding", extra={"founders": ",".join(founders)})
-                self.replica.founding.name_founders(founders)
+                self.replica.founding.set_founders(founders)
                 return
--- a/src/ibishead/registry/service.py
+++ b/src/ibishead/registry/service.py
@@ -233,7 +233,7 @@
     def _format_reached(self) -> str | None:
         if self._replica is None:
             return None
-        reached, all_voters = self._replica.count_reached()
+        reached, all_voters = self._replica.count_linked_voters()
         return f"{reached} of {all_voters}"
 
     async def _run_command(self, command: Command) -> Result:
--- a/tests/control/replica_fakes.py
+++ b/tests/control/replica_fakes.py
@@ -1,4 +1,4 @@
-"""Replicas in one process, with links that can be cut and disks that can be lost."""
+"""Replicas in one process, with simulated links and disks that tests can break."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from tests.fake_files import FakeFiles
 
 from ibishead.clock import SystemClock
-from ibishead.control.driver import Pace
+from ibishead.control.driver import ReplicaOptions
 from ibishead.control.identity import Identity, replica_host
 from ibishead.control.peering import Introduce, ReplicaMessage
 from ibishead.control.raftstate import Timing
@@ -18,18 +18,18 @@
 from ibishead.ids import HostId, ReplicaId
 from ibishead.messages import PeerFrame
 
-PACE = Pace(
-    tick=0.01,
+OPTIONS = ReplicaOptions(
+    tick_seconds=0.01,
     timing=Timing(heartbeat=2, election=15),
-    answer=2.0,
-    repair=0.5,
+    answer_timeout=2.0,
+    repair_after=0.5,
     snapshot_entries=50,
-    reserve=1,
+    reserve_bytes=1,
 )
 
 
 class ListMachine:
-    """Lists what it was given, and returns how much that is."""
+    """Records the commands, and returns their number as each result."""
 
     def __init__(self) -> None:
         self.commands: list[str] = []
@@ -47,7 +47,7 @@
 
 @dataclass
 class FakeLinks:
-    """Hands frames to the replicas of the other hosts."""
+    """Delivers frames to the replicas on the other hosts."""
 
     own: HostId
     cluster: "Cluster"
@@ -84,11 +84,14 @@
 
     def _deliver(self, host: HostId, frame: PeerFrame) -> None:
         if self.reaches(host) and not self.cluster.silent & {self.own, host}:
-            self.cluster.hosts[host].replica.take_frame(frame)
+            self.cluster.hosts[host].replica.receive_frame(frame)
 
 
-class LeapingClock(SystemClock):
-    """The machine's clock, plus the time for which the process was frozen."""
+class SuspendableClock(SystemClock):
+    """The system clock plus an offset that simulates a suspension of the process.
+
+    :ivar frozen: seconds of all suspensions.
+    """
 
     def __init__(self) -> None:
         self.frozen = 0.0
@@ -99,24 +102,28 @@
 
 @dataclass
 class Host:
-    """One running replica."""
+    """One running replica with its state machine, disk and clock."""
 
     replica: LogReplica
     machine: ListMachine
     files: FakeFiles
-    clock: LeapingClock
+    clock: SuspendableClock
 
 
 @dataclass
 class Cluster:
-    """Hosts by name; `hosts` holds those that run.
+    """The hosts of a cluster.
 
-    :ivar silent: hosts whose links stay up and bring nothing any more.
+    :ivar names: all hosts.
+    :ivar first: hosts of the initial voters.
+    :ivar hosts: the running hosts, by name.
+    :ivar cuts: pairs of sender and receiver without a link.
+    :ivar silent: hosts whose links stay open but deliver nothing.
     """
 
     names: list[HostId]
     first: tuple[HostId, ...]
-    pace: Pace = PACE
+    options: ReplicaOptions = OPTIONS
     hosts: dict[HostId, Host] = field(default_factory=dict)
     cuts: set[tuple[HostId, HostId]] = field(default_factory=set)
     silent: set[HostId] = field(default_factory=set)
@@ -125,7 +132,7 @@
     async def start(self, host: HostId, files: FakeFiles | None = None) -> Host:
         files = files or FakeFiles(self.random.randrange(1000))
         machine = ListMachine()
-        clock = LeapingClock()
+        clock = SuspendableClock()
         replica = LogReplica(
             host,
             self.first,
@@ -135,14 +142,14 @@
             clock,
             self.random.randrange,
             lambda: f"{self.random.getrandbits(48):x}",
-            self.pace,
+            self.options,
         )
         self.hosts[host] = Host(replica, machine, files, clock)
         await replica.start()
         return self.hosts[host]
 
     async def kill(self, host: HostId) -> FakeFiles:
-        """Stop a replica at once; what it has not synced is gone."""
+        """Stop a replica, lose its unsynced data and return its disk."""
         found = self.hosts.pop(host)
         await found.replica.stop()
         found.files.crash()
@@ -159,7 +166,7 @@
         return leader
 
     def leader(self) -> HostId | None:
-        """Return a leader whose quorum answers."""
+        """Return a running leader with a lease, if any."""
         for host, found in self.hosts.items():
             if found.replica.is_leader() and found.replica.lease() > 0:
                 return host
--- a/tests/control/test_force.py
+++ b/tests/control/test_force.py
@@ -1,9 +1,9 @@
-"""A change is in force when no replica has a holder that may act on the old state."""
+"""A change is in force once no replica has a holder that may use the old state."""
 
 import pytest
 
 from ibishead.clock import ManualClock
-from ibishead.control.force import SURE_LIMIT, ForceTracker
+from ibishead.control.force import LEASE_LIMIT_SECONDS, InForceTracker
 from ibishead.control.publish import Publisher
 from ibishead.messages import Holders
 
@@ -11,14 +11,14 @@
 
 
 class FakeRelay:
-    """Answers for the other replicas, none for those that can't be reached."""
+    """PendingQuestions for the other replicas; None for unreachable ones."""
 
     def __init__(self, answers: dict[str, Holders | None]) -> None:
         self.answers = answers
-        self.asked: list[str] = []
+        self.requests: list[str] = []
 
     async def ask_holders(self, replica, index):
-        self.asked.append(replica)
+        self.requests.append(replica)
         return self.answers[replica]
 
 
@@ -28,8 +28,8 @@
     publisher = Publisher(log.state, lambda: 1.0, clock)
     replica = FakeReplica("c1", ("c2", "c3"))
     relay = FakeRelay(answers)
-    tracker = ForceTracker(C1, log.state, replica, publisher, relay, clock)
-    log.state.on_change = tracker.note_change
+    tracker = InForceTracker(C1, log.state, replica, publisher, relay, clock)
+    log.state.on_change = tracker.record_change
     clock.step(100.0)
     log.apply(make_submission("s1", 0))
     return tracker, clock
@@ -50,35 +50,44 @@
     assert await tracker.find_waiting(1) == waiting
 
 
-async def test_cut_off_replica_counts_until_its_holders_have_stopped():
-    """A replica is cut off together with an entry that holds the old document."""
+async def test_unreachable_replica_counts_until_its_leases_have_ended():
+    """Guards against a change reported in force too early.
+
+    An unreachable replica has an entry host that still uses the old document.
+    """
     tracker, clock = make_tracker({"c2": None, "c3": Holders(1, 1)})
-    clock.step(SURE_LIMIT - 0.1)
+    clock.step(LEASE_LIMIT_SECONDS - 0.1)
     assert await tracker.find_waiting(1) == ["c2"]
     clock.step(0.2)
     assert await tracker.find_waiting(1) == []
 
 
-async def test_removed_replica_counts_until_its_holders_have_stopped():
-    """A replica is replaced while an entry still has a lease from it."""
+async def test_removed_replica_counts_until_its_leases_have_ended():
+    """Guards against a change reported in force too early.
+
+    A replica is replaced while an entry host still has a lease from it.
+    """
     tracker, clock = make_tracker({"c2": None, "c3": Holders(1, 1)})
-    tracker.note_replicas()
+    tracker.record_replicas()
     tracker._replica.voters = ("c1", "c3")
-    clock.step(SURE_LIMIT - 0.1)
+    clock.step(LEASE_LIMIT_SECONDS - 0.1)
     assert await tracker.find_waiting(1) == ["c2"]
     clock.step(0.2)
     assert await tracker.find_waiting(1) == []
-    assert list(tracker._relay.asked) == ["c2", "c3", "c3"]
+    assert list(tracker._relay.requests) == ["c2", "c3", "c3"]
+
 
+async def test_restarted_replica_counts_changes_from_its_start():
+    """Guards against a change reported in force too early.
 
-async def test_restarted_replica_doesnt_trust_the_age_of_a_change():
-    """A replica that restarts doesn't know when a change was applied before."""
+    A restarted replica doesn't know when a change was applied.
+    """
     tracker, clock = make_tracker({"c2": None, "c3": Holders(1, 1)})
-    clock.step(SURE_LIMIT + 0.1)
+    clock.step(LEASE_LIMIT_SECONDS + 0.1)
     log = Log()
     log.apply(make_submission("s1", 0))
     publisher = Publisher(log.state, lambda: 1.0, clock)
-    fresh = ForceTracker(
+    fresh = InForceTracker(
         C1,
         log.state,
         FakeReplica("c1", ("c2",)),
@@ -88,5 +97,5 @@
     )
     assert await tracker.find_waiting(1) == []
     assert await fresh.find_waiting(1) == ["c2"]
-    clock.step(SURE_LIMIT)
+    clock.step(LEASE_LIMIT_SECONDS)
     assert await fresh.find_waiting(1) == []
--- a/tests/control/test_liveness.py
+++ b/tests/control/test_liveness.py
@@ -1,9 +1,9 @@
-"""Targets that nobody watches are retired, those that come back are not."""
+"""Unmonitored targets are retired, unless they attach again in time."""
 
 import pytest
 
 from ibishead.control.commands import AttachTarget
-from ibishead.control.liveness import REATTACH_GRACE, OrphanWatch
+from ibishead.control.liveness import REATTACH_GRACE_SECONDS, OrphanTracker
 from ibishead.ids import Incarnation, ReplicaId, TargetId
 
 from .support import Log, make_registration
@@ -20,27 +20,30 @@
         ([False, False], True, False),
     ],
 )
-def test_sweep(watched, attaches, due):
+def test_sweep_retires_unmonitored_targets(watched, attaches, due):
     log = Log()
     log.apply(make_registration("n1"))
-    watch = OrphanWatch()
+    watch = OrphanTracker()
     members = log.state.targets.members
     assert watch.sweep(members.values(), lambda _: watched[0], 10.0) == []
     if attaches:
         log.apply(AttachTarget(T1, Incarnation(1), ReplicaId("c2")))
-    later = 10.0 + REATTACH_GRACE
+    later = 10.0 + REATTACH_GRACE_SECONDS
     commands = watch.sweep(members.values(), lambda _: watched[1], later)
     assert [command.target for command in commands] == [T1] * due
 
 
-def test_late_command_doesnt_retire_a_target_that_came_back():
-    """The agent attaches to another replica after the command was decided on."""
+def test_delayed_command_doesnt_retire_an_attached_target():
+    """Guards against the retirement of a live target.
+
+    The agent attaches to another replica after the retirement was decided.
+    """
     log = Log()
     log.apply(make_registration("n1"))
-    watch = OrphanWatch()
+    watch = OrphanTracker()
     members = log.state.targets.members
     watch.sweep(members.values(), lambda _: False, 0.0)
-    (command,) = watch.sweep(members.values(), lambda _: False, REATTACH_GRACE)
+    (command,) = watch.sweep(members.values(), lambda _: False, REATTACH_GRACE_SECONDS)
     log.apply(AttachTarget(T1, Incarnation(1), ReplicaId("c2")))
     log.apply(command)
     assert log.state.targets.is_live(T1, Incarnation(1))
