--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -142,8 +142,8 @@
     Guard(
         "what waits to be accepted at a planned stop is taken",
         "web.py",
-        "        waiting = _accept_waiting(self._listener)\n",
-        "        waiting = []\n",
+        "        queued = _accept_queued(self._listener)\n",
+        "        queued = []\n",
         ("tests/test_web.py::test_a_request_that_came_before_a_stop_is_answered",),
     ),
     Guard(
@@ -307,8 +307,9 @@
         "frames that came are not delivered again",
         "session.py",
         "if frame.sequence >= self.next_sequence:\n"
-        "            self._early.setdefault(frame.sequence, frame)\n        ready = []",
-        "self._early.setdefault(frame.sequence, frame)\n        ready = [frame]",
+        "            self._out_of_order.setdefault(frame.sequence, frame)\n"
+        "        ready = []",
+        "self._out_of_order.setdefault(frame.sequence, frame)\n        ready = [frame]",
         ("tests/test_session.py::test_frames_come_once_and_in_order",),
     ),
     Guard(
@@ -376,7 +377,7 @@
     Guard(
         "a frozen process doesn't blame its peer",
         "session.py",
-        "if frozen:",
+        "if suspended:",
         "if False:",
         ("tests/test_links.py::test_monitor_doesnt_blame_the_peer_for_its_own_freeze",),
     ),
--- a/src/ibishead/clock.py
+++ b/src/ibishead/clock.py
@@ -1,4 +1,4 @@
-"""Time as an interface, so that tests can step it.
+"""Clocks behind an interface, so that tests can control the time.
 
 Deadlines use the monotonic clock in seconds; records use wall-clock datetimes.
 """
@@ -11,48 +11,48 @@
 
 
 class Clock(Protocol):
-    """What a program may ask of time."""
+    """Interface of the clocks that programs use."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go back, from an arbitrary start."""
+        """Return seconds since an arbitrary start; the value never decreases."""
 
     def now(self) -> datetime:
         """Return the wall-clock time in UTC."""
 
 
 class SystemClock:
-    """The machine's own clocks."""
+    """The clocks of the host."""
 
     def monotonic(self) -> float:
-        """Return the machine's monotonic time in seconds."""
+        """Return the host's monotonic time in seconds."""
         return time.monotonic()
 
     def now(self) -> datetime:
-        """Return the machine's wall-clock time in UTC."""
+        """Return the host's wall-clock time in UTC."""
         return datetime.now(UTC)
 
 
 class BootClock(SystemClock):
-    """The machine's clocks, with the time for which it was suspended counted.
+    """The clocks of the host, with a monotonic clock that includes suspended time.
 
-    Failure: a machine is frozen for seconds and wakes again. The usual monotonic clock
-    hasn't moved, so leases and deadlines that are long over still seem to run.
+    The usual monotonic clock stops while a host is suspended. After it resumes, leases
+    and deadlines that have expired meanwhile would still appear valid.
     """
 
     def monotonic(self) -> float:
-        """Return the seconds since the machine's start, sleep included."""
+        """Return the seconds since the host was booted, including suspended time."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ManualClock:
-    """A clock that moves only when told to."""
+    """A clock for tests that advances only through `step`."""
 
     def __init__(self, start: datetime = datetime(2026, 1, 1, tzinfo=UTC)) -> None:
         self._start = start
         self._elapsed = 0.0
 
     def monotonic(self) -> float:
-        """Return the seconds stepped so far."""
+        """Return the sum of all steps in seconds."""
         return self._elapsed
 
     def now(self) -> datetime:
@@ -60,10 +60,11 @@
         return self._start + timedelta(seconds=self._elapsed)
 
     def step(self, seconds: float) -> None:
-        """Move forward.
+        """Advance the clock.
 
-        :param seconds: how far, zero or more.
+        :param seconds: zero or more.
+        :raises ValueError: the number of seconds is negative.
         """
         if seconds < 0:
-            raise ValueError("a clock can only step forward")
+            raise ValueError("a clock cannot be stepped back")
         self._elapsed += seconds
--- a/src/ibishead/codec.py
+++ b/src/ibishead/codec.py
@@ -1,4 +1,4 @@
-"""Messages to CBOR and back, by library, with every type and size checked.
+"""Encoding of messages as CBOR, and decoding with every type and size checked.
 
 One frame on a link holds a batch of messages, in order.
 """
@@ -14,64 +14,62 @@
 
 __all__ = ["MAX_FRAME", "decode_as", "decode_batch", "encode", "encode_batch"]
 
-#: Largest frame in bytes: a body at its limit, its headers, and some room.
+#: Largest frame in bytes: a body of the largest size, its headers, and some reserve.
 MAX_FRAME = 12 * 1024 * 1024
 
-_PASSED_THROUGH = (bytes,)
+_NATIVE_TYPES = (bytes,)
 _T = TypeVar("_T")
 
 
-_holders: dict[Any, Any] = {}
+_struct_types: dict[Any, Any] = {}
 
 
-def _hold(kind: Any) -> Any:
-    # msgspec works a union out anew at each call, in 60 microseconds for all messages,
-    # but only once for a struct that has it as a field
-    if kind not in _holders:
+def _wrap_in_struct(kind: Any) -> Any:
+    # msgspec analyses a union type in each call, which takes 60 microseconds for the
+    # union of all messages. For a struct with a field of that type it does so once.
+    if kind not in _struct_types:
         fields = [("value", kind)]
-        _holders[kind] = msgspec.defstruct("_Holder", fields, array_like=True)
-    return _holders[kind]
+        _struct_types[kind] = msgspec.defstruct("_Holder", fields, array_like=True)
+    return _struct_types[kind]
 
 
 def encode_batch(messages: Sequence[Message]) -> bytes:
-    """Return the frame that holds the messages.
-
-    :param messages: what to send, in order.
-    """
+    """Return a frame that holds the messages in order."""
     return encode(list(messages))
 
 
 def decode_batch(frame: bytes) -> list[Message]:
-    """Return the messages of a frame.
+    """Return the messages of a frame that `encode_batch` has made.
 
-    :param frame: what `encode_batch` returned at the peer.
-    :raises InvalidInput: the frame is no CBOR or holds no known messages.
+    :raises InvalidInput: the frame is not valid CBOR or does not hold known messages.
     :raises TooLarge: the frame exceeds `MAX_FRAME`.
     """
     return decode_as(frame, list[Message])
 
 
 def encode(value: Any) -> bytes:
-    """Return any message, or list of messages, as CBOR."""
-    return cbor2.dumps(msgspec.to_builtins(value, builtin_types=_PASSED_THROUGH))
+    """Return a message or a list of messages as CBOR."""
+    return cbor2.dumps(msgspec.to_builtins(value, builtin_types=_NATIVE_TYPES))
 
 
 def decode_as(data: bytes, kind: type[_T]) -> _T:
-    """Return CBOR data as a value of the kind asked for.
+    """Decode CBOR data to a value of the given type.
 
-    :raises InvalidInput: the data is no CBOR, or of another shape.
+    :raises InvalidInput: the data is not valid CBOR or does not match the type.
     :raises TooLarge: the data exceeds `MAX_FRAME`.
     """
     if len(data) > MAX_FRAME:
         raise TooLarge(
-            f"a frame of {len(data)} bytes exceeds {MAX_FRAME}",
-            "send smaller bodies",
+            f"frame of {len(data)} bytes exceeds the limit of {MAX_FRAME} bytes",
+            "send smaller request or answer bodies",
         )
     try:
         value = (cbor2.loads(data),)
-        holder = msgspec.convert(value, _hold(kind), builtin_types=_PASSED_THROUGH)
-        return holder.value
-    # cbor2 lets errors of several kinds through on hostile input
+        wrapped = msgspec.convert(
+            value, _wrap_in_struct(kind), builtin_types=_NATIVE_TYPES
+        )
+        return wrapped.value
+    # cbor2 raises several types of exceptions on malicious input
     except (
         cbor2.CBORDecodeError,
         msgspec.ValidationError,
@@ -82,6 +80,6 @@
         MemoryError,
     ) as error:
         raise InvalidInput(
-            f"a frame can't be decoded: {error}",
+            f"cannot decode a frame: {error}",
             "run the same version of ibishead on both ends",
         ) from error
--- a/src/ibishead/headers.py
+++ b/src/ibishead/headers.py
@@ -1,4 +1,4 @@
-"""Headers of HTTP messages as pairs of name, in lower case, and value."""
+"""HTTP headers as pairs of lower-case name and value."""
 
 from collections.abc import Iterable
 from typing import TypeAlias
@@ -23,21 +23,21 @@
 
 
 def find_header(headers: Iterable[tuple[str, str]], name: str) -> str | None:
-    """Return the first value of a header, or none.
+    """Return the first value of a header, `None` if there is no such header.
 
-    :param name: in lower case.
+    :param name: name in lower case.
     """
     return next((value for key, value in headers if key == name), None)
 
 
 def drop_hop_by_hop(headers: Iterable[tuple[str, str]]) -> Headers:
-    """Return the headers that may travel further than one connection."""
-    kept = list(headers)
-    named = {
+    """Return the headers without those that apply to one connection only."""
+    pairs = list(headers)
+    listed = {
         part.strip().lower()
-        for key, value in kept
+        for key, value in pairs
         if key == "connection"
         for part in value.split(",")
     }
-    dropped = _HOP_BY_HOP | named
-    return tuple((key, value) for key, value in kept if key not in dropped)
+    dropped = _HOP_BY_HOP | listed
+    return tuple((key, value) for key, value in pairs if key not in dropped)
--- a/src/ibishead/ids.py
+++ b/src/ibishead/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers that cross module boundaries, each a type of its own."""
+"""Identifiers used across modules, each a distinct type to the type checker."""
 
 from typing import NewType
 
@@ -34,19 +34,19 @@
 HostId = NewType("HostId", str)
 FailureDomain = NewType("FailureDomain", str)
 TargetId = NewType("TargetId", str)
-#: One life of an engine process; a new value after every restart.
+#: Identifies one run of an engine process; changes with every restart.
 BootId = NewType("BootId", str)
 RequestId = NewType("RequestId", str)
 IdempotencyKey = NewType("IdempotencyKey", str)
 SubmissionId = NewType("SubmissionId", str)
 ReplicaId = NewType("ReplicaId", str)
-#: Fencing number of one life of an agent; rises with every registration.
+#: Fencing number of one run of an agent; rises with every registration.
 Incarnation = NewType("Incarnation", int)
-#: Number of one grant of a claim; rises when a claim is granted anew.
+#: Number of one grant of a claim; rises when a claim is granted again.
 Generation = NewType("Generation", int)
 #: Number of a service document; rises by one with every accepted change.
 Revision = NewType("Revision", int)
-#: Position of a frame in one answer, from 0.
+#: Position of a frame in its answer, counted from 0.
 Sequence = NewType("Sequence", int)
 Term = NewType("Term", int)
 LogIndex = NewType("LogIndex", int)
--- a/src/ibishead/links.py
+++ b/src/ibishead/links.py
@@ -1,7 +1,8 @@
-"""Links between programs: one websocket, many interleaved exchanges.
+"""Links between programs: websocket connections that multiplex typed messages.
 
-All messages sent in one turn of the loop leave in one frame. A link is closed when
-its peer's loop has been silent too long, whatever the kernel thinks of it.
+All messages sent in one iteration of the event loop leave in one frame. A link is
+closed when its peer's event loop has sent nothing for too long, even if the kernel
+still reports the connection as open.
 """
 
 import asyncio
@@ -32,29 +33,29 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds in which a link must be open and greeted.
+#: Seconds for connecting and exchanging hellos.
 OPEN_TIMEOUT = 2.0
 
-#: Seconds that a closing link waits for its peer.
+#: Seconds that a closing link waits for unsent messages, and for its peer's close.
 CLOSE_TIMEOUT = 0.5
 
 
-#: Ticks of the monitor in one heartbeat interval.
+#: Checks of the link monitor in one heartbeat interval.
 TICKS_PER_INTERVAL = 2
 
 
-#: Failure: a peer closes its side while bytes wait to be sent, and then takes them.
-#: The transport is lost by itself, and CPython 3.11 raises AttributeError when it is
-#: aborted after that, as websockets does in send and close. Let through, it ended the
-#: task that dials anew, and the host stayed cut off.
-_LOST_TRANSPORT = (AttributeError,)
+#: Raised by CPython 3.11 when a transport is aborted after it has lost its connection,
+#: as websockets does in send and close. It happens when a peer closes its side while
+#: bytes wait to be sent, and then reads them. Uncaught, the error would end the task
+#: that reconnects, and the host would stay disconnected.
+_LOST_TRANSPORT_ERRORS = (AttributeError,)
 
 
 @dataclass(frozen=True)
 class Endpoint:
-    """Where a program listens.
+    """Address and port on which a program listens.
 
-    :param address: an IP number.
+    :param address: IP address.
     """
 
     address: str
@@ -67,10 +68,12 @@
 
 @dataclass(frozen=True)
 class Pace:
-    """Seconds between heartbeats, and of silence until a link is given up.
+    """Heartbeat settings of one end of a link.
 
-    :param mutual: both ends keep this pace, so that each hears the other's heartbeats
-        and none of them needs an answer; that halves the messages of a quiet link.
+    :param interval: seconds between heartbeats.
+    :param silence: seconds without a message after which the link is closed.
+    :param mutual: both ends send heartbeats at this interval, so that pings need no
+        pong; that halves the messages on an idle link.
     """
 
     interval: float = HEARTBEAT_INTERVAL
@@ -79,9 +82,13 @@
 
 
 class Link:
-    """One live connection to a peer program.
+    """An open connection to a peer program.
 
-    :param peer: what the peer said of itself.
+    :param peer: hello that the peer has sent.
+    :param pace: heartbeat settings of this end.
+    :ivar sent_bytes: bytes of all frames sent.
+    :ivar received_bytes: bytes of all frames received.
+    :ivar silenced: whether the link was closed because the peer sent nothing.
     """
 
     def __init__(
@@ -94,7 +101,6 @@
         self.peer = peer
         self.sent_bytes = 0
         self.received_bytes = 0
-        #: The link was given up since its peer was silent.
         self.silenced = False
         self._socket = socket
         self._clock = clock
@@ -111,20 +117,20 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the link is over."""
+        """Whether the link is closed."""
         return self._closed.is_set()
 
     @property
     def overdue(self) -> bool:
-        """Whether the peer has not been heard of for longer than it should."""
+        """Whether the peer's heartbeat is late."""
         return self._monitor.is_overdue(self._clock.monotonic())
 
     async def wait_closed(self) -> None:
-        """Return once the link is over."""
+        """Wait until the link is closed."""
         await self._closed.wait()
 
     def send(self, message: Message) -> None:
-        """Queue a message for this turn's frame; on a closed link it is dropped."""
+        """Queue a message for the next frame; a closed link drops it."""
         if self.closed:
             return
         self._outbox.append(message)
@@ -133,7 +139,7 @@
             self._monitor.note_sent(self._clock.monotonic())
 
     async def receive(self) -> AsyncIterator[Message]:
-        """Yield the peer's messages until the link is over."""
+        """Yield the peer's messages until the link is closed."""
         try:
             async for frame in self._socket:
                 if isinstance(frame, str):
@@ -150,26 +156,28 @@
             pass
         except IbisheadError as error:
             logger.warning(
-                "link closed on a bad frame",
+                "link closed after an invalid frame",
                 extra={"peer": self.peer.host, "reason": error.message},
             )
         finally:
             self._abort()
 
     async def flush(self) -> None:
-        """Return once the messages queued so far are with the kernel."""
+        """Wait until all queued messages are passed on to the websocket."""
         while self._outbox and not self.closed:
             await asyncio.sleep(0)
 
     def end(self) -> None:
-        """Drop the link at once; whoever reads it is told that it is over."""
+        """Close the link at once and drop the queued messages; `receive` then ends."""
         self._abort()
 
     async def close(self) -> None:
-        """Send what is queued, then end the link."""
+        """Send the queued messages, then close the link."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.flush(), CLOSE_TIMEOUT)
-        with contextlib.suppress(TimeoutError, WebSocketException, *_LOST_TRANSPORT):
+        with contextlib.suppress(
+            TimeoutError, WebSocketException, *_LOST_TRANSPORT_ERRORS
+        ):
             await asyncio.wait_for(self._socket.close(), CLOSE_TIMEOUT)
         self._abort()
 
@@ -182,19 +190,22 @@
                 frame = encode_batch(batch)
                 self.sent_bytes += len(frame)
                 await self._socket.send(frame)
-        except (WebSocketException, OSError, *_LOST_TRANSPORT):
+        except (WebSocketException, OSError, *_LOST_TRANSPORT_ERRORS):
             self._abort()
 
     async def _watch_silence(self) -> None:
         step = self._monitor.interval / TICKS_PER_INTERVAL
         loop = asyncio.get_running_loop()
         while True:
-            # All links of a process wake at the same moments: a host with dozens of
-            # quiet links then has one wake-up a step instead of one for each link.
+            # Aligned to multiples of the step, so that a process with dozens of idle
+            # links wakes up once a step instead of once for each link.
             await asyncio.sleep(step - loop.time() % step)
             match self._monitor.tick(self._clock.monotonic()):
                 case LinkAction.GIVE_UP:
-                    logger.warning("peer is silent", extra={"peer": self.peer.host})
+                    logger.warning(
+                        "link closed: no message from the peer within the time-out",
+                        extra={"peer": self.peer.host},
+                    )
                     self.silenced = True
                     self._abort()
                     return
@@ -205,8 +216,8 @@
                     pass
 
     def _abort(self) -> None:
-        # A close handshake would wait for a peer that no longer answers; the
-        # transport is dropped so that whoever reads this link moves on at once.
+        # A close handshake would wait for a peer that no longer answers. Aborting the
+        # transport makes the reader of this link return at once.
         if self._closed.is_set():
             return
         self._closed.set()
@@ -215,12 +226,12 @@
         for task in self._tasks:
             if task is not current:
                 task.cancel()
-        _drop(self._socket.transport)
+        _abort_transport(self._socket.transport)
 
 
-def _drop(transport: asyncio.Transport) -> None:
-    # Nothing is left to drop once a closing transport has sent its last byte, and
-    # abort() would raise; see _LOST_TRANSPORT
+def _abort_transport(transport: asyncio.Transport) -> None:
+    # A closing transport that has sent its last byte may have lost its connection;
+    # abort() would then raise, see _LOST_TRANSPORT_ERRORS.
     if not transport.is_closing() or transport.get_write_buffer_size():
         transport.abort()
 
@@ -232,9 +243,10 @@
     pace: Pace | None = None,
     tls: ssl.SSLContext | None = None,
 ) -> Link:
-    """Open a link and greet the peer.
+    """Connect to a peer and exchange hellos with it.
 
-    :raises LinkLost: the peer can't be reached or doesn't greet in time.
+    :param pace: heartbeat settings, the defaults if not given.
+    :raises LinkLost: the peer cannot be reached or sends no hello in time.
     """
     scheme = "ws" if tls is None else "wss"
     try:
@@ -250,24 +262,27 @@
                 ping_interval=None,
                 close_timeout=CLOSE_TIMEOUT,
             )
-            return await _greet(socket, hello, clock, pace or Pace())
+            return await _exchange_hello(socket, hello, clock, pace or Pace())
     except (OSError, TimeoutError, WebSocketException, IbisheadError) as error:
         raise LinkLost(
-            f"no link to {endpoint}: {error or type(error).__name__}",
-            "check that the program runs there and that the network lets it through",
+            f"cannot open a link to {endpoint}: {error or type(error).__name__}",
+            "check that the program runs there and that no firewall blocks the port",
         ) from error
 
 
-#: How programs open links; tests put a fake network in its place.
+#: Type of `dial`; tests pass a function that connects to a simulated network.
 Dialer: TypeAlias = Callable[
     [Endpoint, Hello, Clock, Pace | None, ssl.SSLContext | None], Awaitable[Link]
 ]
 
 
 class LinkServer:
-    """Accepts links and hands each to a handler, which owns it until it returns.
+    """Listens for links and runs a handler for each.
 
-    :param greet: returns the hello that each peer is answered with.
+    :param handler: called with each new link, which is closed when it returns.
+    :param greet: returns the hello to send to a new peer.
+    :param pace: heartbeat settings, the defaults if not given.
+    :ivar links: links whose handler is running.
     """
 
     def __init__(
@@ -288,9 +303,10 @@
         self.links: set[Link] = set()
 
     async def start(self, endpoint: Endpoint) -> Endpoint:
-        """Listen, and return the endpoint with the port that was taken.
+        """Start listening.
 
-        :param endpoint: port 0 lets the system choose.
+        :param endpoint: where to listen; with port 0 the system chooses a free port.
+        :returns: the endpoint with the actual port.
         """
         self._server = await serve(
             self._accept,
@@ -319,13 +335,18 @@
     async def _accept(self, socket: ServerConnection) -> None:
         try:
             async with asyncio.timeout(OPEN_TIMEOUT):
-                link = await _greet(socket, self._greet(), self._clock, self._pace)
+                link = await _exchange_hello(
+                    socket, self._greet(), self._clock, self._pace
+                )
         except (TimeoutError, WebSocketException, IbisheadError) as error:
-            logger.warning("peer didn't greet", extra={"reason": str(error)})
+            logger.warning(
+                "connection closed: no valid hello from the peer",
+                extra={"reason": str(error)},
+            )
             socket.transport.abort()
             return
-        # Failure: a peer that was greeted while the others were closed would keep its
-        # link, and the planned stop would wait for it without end.
+        # A peer whose hello arrives while stop() closes the other links must not keep
+        # its own: the planned stop would wait for it indefinitely.
         if self._stopping:
             await link.close()
             return
@@ -337,7 +358,7 @@
             await link.close()
 
 
-async def _greet(
+async def _exchange_hello(
     socket: ClientConnection | ServerConnection, hello: Hello, clock: Clock, pace: Pace
 ) -> Link:
     await socket.send(encode_batch([hello]))
@@ -345,4 +366,7 @@
     match decode_batch(frame):
         case [Hello() as peer]:
             return Link(socket, peer, clock, pace)
-    raise LinkLost("the peer didn't greet", "check that ibishead listens there")
+    raise LinkLost(
+        "the peer sent no hello",
+        "check that an ibishead program listens at this address",
+    )
--- a/src/ibishead/messages.py
+++ b/src/ibishead/messages.py
@@ -1,7 +1,8 @@
-"""Typed messages between the programs of the system.
+"""Typed messages that the programs exchange over links.
 
-Messages travel as CBOR arrays, tag first, fields in order; a new field goes last
-and needs a default. Durations are seconds, sizes bytes, moments POSIX seconds.
+A message is encoded as a CBOR array: the class name as tag, then the fields in order.
+To stay compatible, add new fields at the end and give them a default. Durations are in
+seconds, sizes in bytes and points in time in POSIX seconds.
 """
 
 from enum import Enum
@@ -89,7 +90,7 @@
 
 
 class Role(Enum):
-    """Which program speaks."""
+    """The kind of program at one end of a link."""
 
     ENTRY = "entry"
     AGENT = "agent"
@@ -97,14 +98,14 @@
 
 
 class TargetKind(Enum):
-    """What an agent stands beside."""
+    """The kind of target that an agent serves."""
 
     ENGINE = "engine"
     PLAIN = "plain"
 
 
 class Outcome(Enum):
-    """What is known of a request that has ended."""
+    """What is known about the execution of a request that has ended."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
@@ -112,7 +113,7 @@
 
 
 class ClaimState(Enum):
-    """Where the claim of a non-idempotent request stands."""
+    """State of the claim of a non-idempotent request."""
 
     GRANTED = "granted"
     RUNNING = "running"
@@ -123,16 +124,16 @@
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all messages: immutable, compared by value."""
+    """Base class of all messages: immutable, compared by value."""
 
 
 # Links -----------------------------------------------------------------------
 
 
 class Hello(_Message, frozen=True):
-    """First message each way on a link.
+    """First message in each direction on a link.
 
-    :param incarnation: of an agent that is registered; 0 otherwise.
+    :param incarnation: incarnation of a registered agent, 0 for any other sender.
     """
 
     role: Role
@@ -141,13 +142,13 @@
 
 
 class Ping(_Message, frozen=True):
-    """Asks the peer's loop, not its kernel, for a sign of life."""
+    """Heartbeat that the peer's event loop, not only its kernel, has to answer."""
 
     number: int
 
 
 class Pong(_Message, frozen=True):
-    """Answers the ping of the same number."""
+    """Answer to the `Ping` with the same number."""
 
     number: int
 
@@ -158,13 +159,15 @@
 class Dispatch(_Message, frozen=True):
     """Asks an agent to run one attempt of a request.
 
-    :param revision: of the service's document that the entry decided by.
-    :param incarnation: of the agent this attempt is meant for, no other.
-    :param deadline: seconds from arrival at the agent until it is worthless.
-    :param headers: pairs of lower-case name and value, hop-by-hop ones removed.
-    :param generation: of the claim, for non-idempotent requests; 0 otherwise.
-    :param source: where the engine finds the adapter's weights.
-    :param confirmed: the entry host held a live document lease when it decided.
+    :param deadline: seconds from arrival at the agent until the answer has no use.
+    :param revision: revision of the service document that the entry host applied.
+    :param incarnation: the only agent incarnation that may run this attempt.
+    :param headers: pairs of lower-case name and value, without hop-by-hop headers.
+    :param generation: generation of the claim, 0 for idempotent requests.
+    :param key: idempotency key, empty where the request has none.
+    :param source: location from which the engine loads the adapter's weights.
+    :param confirmed: whether the entry host held a valid document lease when it
+        dispatched the attempt.
     """
 
     request: RequestId
@@ -192,14 +195,14 @@
 
 
 class Cancel(_Message, frozen=True):
-    """The caller left; the attempt may stop where the target can stop it."""
+    """The caller has disconnected; stop the attempt if the target allows it."""
 
     request: RequestId
     attempt: int
 
 
 class Acknowledge(_Message, frozen=True):
-    """All frames before ``next_sequence`` have arrived and may be forgotten."""
+    """All frames before ``next_sequence`` have arrived and need not be resent."""
 
     request: RequestId
     attempt: int
@@ -207,10 +210,10 @@
 
 
 class Resume(_Message, frozen=True):
-    """Asks on a new link for the frames from ``next_sequence`` on.
+    """Asks over a new link for the frames from ``next_sequence`` on.
 
-    An agent of that incarnation that never received the attempt tombstones it and
-    answers `NotRun`, so that a dispatch delivered later is refused.
+    If the agent has this incarnation and never received the attempt, it records a
+    tombstone and answers `NotRun`, so that a dispatch delivered later is refused.
     """
 
     request: RequestId
@@ -222,9 +225,9 @@
 class AnswerHead(_Message, frozen=True):
     """Frame 0 of an answer.
 
-    :param adapter: the adapter that serves, as the agent has verified it.
-    :param stall: seconds that the request waited for its adapter.
-    :param queued: seconds that it waited for its turn besides.
+    :param adapter: the adapter that serves the request, as verified by the agent.
+    :param queued: seconds that the request waited in the queue, without ``stall``.
+    :param stall: seconds that the request waited for its adapter to be loaded.
     """
 
     request: RequestId
@@ -240,7 +243,7 @@
 
 
 class AnswerBody(_Message, frozen=True):
-    """One piece of the answer's body."""
+    """One chunk of the answer's body."""
 
     request: RequestId
     attempt: int
@@ -249,9 +252,9 @@
 
 
 class AnswerEnd(_Message, frozen=True):
-    """Last frame of an attempt that was given to the target.
+    """Last frame of an attempt that was sent to the target.
 
-    :param outcome: `COMPLETED` for a whole answer, else `UNKNOWN`.
+    :param outcome: `COMPLETED` for a complete answer, `UNKNOWN` otherwise.
     """
 
     request: RequestId
@@ -263,9 +266,11 @@
 
 
 class NotRun(_Message, frozen=True):
-    """Proof that the attempt did not run and never will.
+    """Guarantee that the attempt has not run and never will.
 
-    :param document: a newer document of the service, when the entry's was old.
+    :param retry_after: seconds after which the request may be sent again.
+    :param document: a newer document of the service, if that of the entry host is
+        out of date.
     """
 
     request: RequestId
@@ -277,17 +282,20 @@
 
 
 class LoadReport(_Message, frozen=True):
-    """An agent's load; rides behind answers and at every heartbeat.
+    """An agent's load, sent after answers and with every heartbeat.
 
     :param resident: digests (`placement.adapter_digest`) of adapters in slots.
-    :param loading: digests of adapters on their way.
-    :param seconds_per_request: measured mean time of one run.
-    :param healthy: the target itself answers.
-    :param seconds_per_load: measured mean time from wish to resident adapter.
-    :param wishes: adapters that requests wait for and whose load hasn't begun.
-    :param free_slots: slots that are empty or may be emptied now.
-    :param coldest: aged uses of the adapter that would leave next, 0 for an empty slot.
-    :param stalled: requests among the queued that wait for their adapter.
+    :param loading: digests of adapters that are being loaded.
+    :param seconds_per_request: measured mean execution time of a request.
+    :param healthy: whether the target itself answers.
+    :param seconds_per_load: measured mean time from the request for an adapter until
+        it is resident.
+    :param wishes: number of adapters that requests wait for and whose load has not
+        begun.
+    :param free_slots: slots that are empty or can be evicted now.
+    :param coldest: decayed use count of the next adapter to be evicted, 0 if a slot is
+        empty.
+    :param stalled: queued requests that wait for their adapter.
     """
 
     target: TargetId
@@ -311,10 +319,10 @@
 
 
 class DocumentRecord(_Message, frozen=True):
-    """One accepted service document.
+    """An accepted service document.
 
-    :param text: the INI text as submitted.
-    :param accepted_at: POSIX seconds by the leader's clock.
+    :param text: INI text as submitted.
+    :param accepted_at: time of acceptance in POSIX seconds by the leader's clock.
     """
 
     service: ServiceName
@@ -327,9 +335,9 @@
 
 
 class TargetRecord(_Message, frozen=True):
-    """One registered target and how to reach its agent.
+    """A registered target and the address of its agent.
 
-    :param fenced: whether the target itself refuses old fencing numbers.
+    :param fenced: whether the target itself refuses outdated fencing numbers.
     """
 
     target: TargetId
@@ -345,9 +353,11 @@
 
 
 class AskRegistration(_Message, frozen=True):
-    """An agent announces its target.
+    """Asks for the registration of an agent's target.
 
-    :param nonce: drawn by the agent at its start; a resend gets the same number.
+    :param nonce: random value that the agent draws at start; a resend with the same
+        nonce gets the same incarnation.
+    :param fenced: whether the target itself refuses outdated fencing numbers.
     """
 
     nonce: str
@@ -370,10 +380,10 @@
 
 
 class Subscribe(_Message, frozen=True):
-    """Asks for everything after ``index`` and for changes as they are applied.
+    """Asks for all changes after ``index``, and for later ones as they are applied.
 
-    :param index: last applied index of the control log that the asker holds.
-    :param services: only these services, or all when empty.
+    :param index: index of the control log up to which the subscriber has applied all.
+    :param services: services to subscribe to, all if empty.
     """
 
     host: HostId
@@ -383,17 +393,17 @@
 
 
 class Publish(_Message, frozen=True):
-    """A delta of documents and targets, and the lease it renews.
+    """Changed documents and targets, and a renewal of the subscriber's lease.
 
-    :param index: log index that the holder stands at once it has applied this.
-    :param whole: the delta is the full state and replaces what was held; a document
-        of a lower revision is still never taken.
-    :param lease: seconds for which the holder may act on its documents; 0 from a
+    :param index: log index of the subscriber once it has applied this message.
+    :param lease: seconds for which the subscriber may act on its documents; 0 from a
         replica that has no lease of its own.
-    :param gone: targets with the incarnation that ended.
+    :param gone: removed targets, each with the incarnation that has ended.
+    :param whole: whether the message holds the full state, which replaces that of the
+        subscriber; a document of a lower revision is ignored even then.
     :param answers: number of the `ReportInForce` that this answers, 0 for none. The
-        holder counts the lease from when it sent that report, so that a delay on
-        the way can only shorten it.
+        lease is counted from the time that report was sent, so that a delay in
+        transit can only shorten it.
     """
 
     index: int
@@ -406,9 +416,9 @@
 
 
 class ReportInForce(_Message, frozen=True):
-    """A holder has applied all up to ``index``; also asks to renew its lease.
+    """Reports that all up to ``index`` is applied, and asks to renew the lease.
 
-    :param number: rises with each report, from 1.
+    :param number: sequence number of the report, counted from 1.
     """
 
     host: HostId
@@ -417,14 +427,14 @@
 
 
 class AskClaim(_Message, frozen=True):
-    """Asks for the right to run a non-idempotent request once.
+    """Asks for the exclusive right to run a non-idempotent request once.
 
-    A claim is keyed by team, service and key; ``digest`` covers method, path and
-    body, so that a key sent with another body is told apart.
+    A claim is identified by team, service and idempotency key. ``digest`` covers
+    method, path and body, so that reuse of a key for another request is detected.
 
-    :param retention: seconds for which the outcome is kept.
-    :param question: number of the ask on its sender's side; the answer, and a
-        `Refusal`, repeat it. An ask that is sent again keeps its number.
+    :param retention: seconds for which the outcome is stored.
+    :param question: correlation number chosen by the sender; the answer or `Refusal`
+        repeats it, and a resend keeps it.
     """
 
     request: RequestId
@@ -439,10 +449,12 @@
 
 
 class ClaimAnswer(_Message, frozen=True):
-    """Where a claim stands after `AskClaim` or `ResolveClaim`.
+    """State of a claim after `AskClaim` or `ResolveClaim`.
 
-    :param answer_status: of the recorded answer, when the claim has completed.
-    :param question: of the ask.
+    :param holder: request that holds the claim.
+    :param answer_status: HTTP status of the recorded answer, if the claim has
+        completed.
+    :param question: correlation number of the message that this answers.
     """
 
     request: RequestId
@@ -461,9 +473,10 @@
 
 
 class ResolveClaim(_Message, frozen=True):
-    """Records how the attempt under a claim ended.
+    """Records the outcome of the attempt that ran under a claim.
 
-    :param question: as in `AskClaim`.
+    :param generation: generation under which the claim was granted.
+    :param question: correlation number, as in `AskClaim`.
     """
 
     request: RequestId
@@ -479,10 +492,10 @@
 
 
 class AskPermit(_Message, frozen=True):
-    """Asks for one load from the weight store.
+    """Asks for a permit for one load from the weight store.
 
-    :param number: names the load within the agent's incarnation.
-    :param urgency: harm of waiting, as `loading.urgency` computes it.
+    :param number: identifies the load within the agent's incarnation.
+    :param urgency: cost of delaying the load, as `loading.urgency` computes it.
     """
 
     target: TargetId
@@ -492,7 +505,7 @@
 
 
 class PermitAnswer(_Message, frozen=True):
-    """Grants the load of that number for ``lifetime`` seconds from now."""
+    """Grants the permit for a load; it expires ``lifetime`` seconds after receipt."""
 
     target: TargetId
     incarnation: Incarnation
@@ -501,7 +514,7 @@
 
 
 class ReleasePermit(_Message, frozen=True):
-    """The load of that number has ended, one way or the other."""
+    """Returns the permit of a load that has succeeded or failed."""
 
     target: TargetId
     incarnation: Incarnation
@@ -509,11 +522,12 @@
 
 
 class Refusal(_Message, frozen=True):
-    """Control's answer to an ask that it can't serve now.
+    """Answer of a control replica that cannot serve a message now.
 
-    :param subject: the request id, nonce or load number of the ask.
-    :param leader: address of the leader where it is known.
-    :param question: of the ask, 0 where it has none.
+    :param subject: request id, nonce or load number of the refused message.
+    :param retry_after: seconds after which the message may be sent again.
+    :param leader: the leader's replica id, empty if it is unknown.
+    :param question: correlation number of the refused message, 0 if it has none.
     """
 
     subject: str
@@ -524,11 +538,11 @@
     question: int = 0
 
 
-# Control replicas among themselves ------------------------------------------
+# Between control replicas ----------------------------------------------------
 
 
 class AskHolders(_Message, frozen=True):
-    """Asks another replica whether ``index`` is in force at all its holders."""
+    """Asks a replica whether all its subscribers have applied ``index``."""
 
     index: int
 
@@ -536,8 +550,8 @@
 class Holders(_Message, frozen=True):
     """Answer to `AskHolders`.
 
-    :param applied: where the replica itself stands.
-    :param waiting: holders under a live lease that haven't applied ``index``.
+    :param applied: index that the replica itself has applied.
+    :param waiting: subscribers with a valid lease that have not applied ``index``.
     """
 
     index: int
@@ -546,12 +560,13 @@
 
 
 class PeerFrame(_Message, frozen=True):
-    """A part of what one replica of the control log sends to another.
+    """One part of a message between replicas of the control log.
 
-    :param cluster: of the sender; empty before it has joined one.
-    :param receiver: the identity that is meant; empty for whoever runs there.
-    :param part: position of this part, from 0.
-    :param last: no more parts follow.
+    :param cluster: cluster id of the sender, empty before it has joined a cluster.
+    :param receiver: id of the addressed replica; if empty, any replica that listens
+        at the address accepts the message.
+    :param part: position of this part in the message, counted from 0.
+    :param last: whether this is the last part.
     """
 
     cluster: str
--- a/src/ibishead/session.py
+++ b/src/ibishead/session.py
@@ -1,9 +1,9 @@
-"""State of links and of the answers that cross them, without I/O.
+"""State of links and of the answers sent over them, without I/O.
 
-`LinkMonitor` tells when to ask a peer for a sign of life and when to give it up.
-`FrameBuffer` keeps the frames of an answer until the peer has them, and
-`FrameSequence` puts them in order at the other end, so that an answer outlives
-the link it began on.
+`LinkMonitor` decides when to send a heartbeat and when to close a link. `FrameBuffer`
+holds the frames of an answer until the receiver has acknowledged them, and
+`FrameSequence` restores their order at the receiver. Together they let an answer
+continue over a new link when its first link is lost.
 """
 
 from collections import deque
@@ -28,17 +28,17 @@
 #: Seconds between heartbeats.
 HEARTBEAT_INTERVAL = 0.5
 
-#: Intervals without any message after which other peers are preferred.
-OVERDUE = 1.5
+#: Heartbeat intervals without any message after which other peers are preferred.
+OVERDUE_INTERVALS = 1.5
 
-#: Seconds without any message after which a peer counts as lost. Four heartbeats,
-#: so that one slow loop turn is survived, yet short of the 5 s in which a silent
-#: target must be gone.
+#: Seconds without any message after which a peer counts as lost. Four heartbeats, so
+#: that one slow iteration of the peer's event loop does not close the link, and less
+#: than the 5 s within which a silent target has to be removed.
 SILENCE_LIMIT = 2.0
 
 
 class LinkAction(Enum):
-    """What a link's owner is to do now."""
+    """What the owner of a `LinkMonitor` has to do."""
 
     WAIT = "wait"
     PING = "ping"
@@ -46,11 +46,11 @@
 
 
 class LinkMonitor:
-    """Watches one link for silence.
+    """Schedules the heartbeats of a link and detects a silent peer.
 
-    :param now: monotonic seconds.
+    :param now: current monotonic time in seconds.
     :param interval: seconds between heartbeats.
-    :param silence: seconds without a message after which the link is given up.
+    :param silence: seconds without a message after which the link has to be closed.
     """
 
     def __init__(
@@ -61,110 +61,123 @@
     ) -> None:
         self.interval = interval
         self._silence = silence
-        self._heard = now
-        self._ticked = now
-        self._pinged = now - interval
+        self._last_received = now
+        self._last_tick = now
+        self._last_heartbeat = now - interval
 
     def hear(self, now: float) -> None:
-        """Note that a message came from the peer's own loop."""
-        self._heard = now
+        """Record that a message from the peer has arrived."""
+        self._last_received = now
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether the peer's next heartbeat should have come long ago."""
-        return now - self._heard > OVERDUE * self.interval
+        """Return whether the peer's heartbeat is late by half an interval or more."""
+        return now - self._last_received > OVERDUE_INTERVALS * self.interval
 
     def note_sent(self, now: float) -> None:
-        """Note that a message has left, which the peer hears as a heartbeat.
+        """Record that a message was sent, so that no heartbeat is due for an interval.
 
-        For links whose both ends go by the same interval and ask for no answers.
+        Only for links on which both ends send heartbeats and expect no pongs.
         """
-        self._pinged = now
+        self._last_heartbeat = now
 
     def tick(self, now: float) -> LinkAction:
-        """Return what to do; to be called a few times in each interval.
+        """Return what to do now; has to be called several times in each interval.
 
-        A process that was frozen finds a gap between its own ticks. The peer's
-        messages may lie unread in the socket, so silence is counted anew.
+        A long gap between two calls means that this process itself was suspended. The
+        peer's messages may then wait unread in the socket, so its silence is counted
+        from now.
         """
-        frozen = now - self._ticked > self._silence / 2
-        self._ticked = now
-        if frozen:
-            self._heard = now
-        if now - self._heard >= self._silence:
+        suspended = now - self._last_tick > self._silence / 2
+        self._last_tick = now
+        if suspended:
+            self._last_received = now
+        if now - self._last_received >= self._silence:
             return LinkAction.GIVE_UP
-        if now - self._pinged >= self.interval:
-            self._pinged = now
+        if now - self._last_heartbeat >= self.interval:
+            self._last_heartbeat = now
             return LinkAction.PING
         return LinkAction.WAIT
 
 
 class FrameBuffer:
-    """Frames of one answer that the entry host hasn't acknowledged.
+    """Frames of one answer that the entry host has not acknowledged.
 
-    :param limit: bytes above which the sender should pause its source.
+    :param limit: bytes in the buffer from which on reading from the source should
+        pause.
+    :ivar ended: whether the last frame of the answer was appended.
     """
 
     def __init__(self, limit: int = 1024 * 1024) -> None:
         self._limit = limit
         self._frames: deque[Frame] = deque()
-        self._first = 0
-        self._bytes = 0
+        self._first_sequence = 0
+        self._buffered_bytes = 0
         self.ended = False
 
     @property
     def next_sequence(self) -> Sequence:
-        """The number that the next frame gets."""
-        return Sequence(self._first + len(self._frames))
+        """The sequence number of the next frame to append."""
+        return Sequence(self._first_sequence + len(self._frames))
 
     @property
     def full(self) -> bool:
-        """Whether the source should pause."""
-        return self._bytes >= self._limit
+        """Whether reading from the source should pause."""
+        return self._buffered_bytes >= self._limit
 
     @property
     def delivered(self) -> bool:
-        """Whether the whole answer has been acknowledged."""
+        """Whether the complete answer has been acknowledged."""
         return self.ended and not self._frames
 
     def append(self, frame: Frame) -> None:
-        """Keep a frame, which must carry `next_sequence`."""
+        """Add a frame.
+
+        :raises ValueError: its sequence number is not `next_sequence`.
+        """
         if frame.sequence != self.next_sequence:
-            raise ValueError(f"frame {frame.sequence} follows {self.next_sequence}")
+            raise ValueError(
+                f"frame {frame.sequence} appended, {self.next_sequence} expected"
+            )
         self._frames.append(frame)
-        self._bytes += _weigh(frame)
+        self._buffered_bytes += _size_in_bytes(frame)
         self.ended = isinstance(frame, AnswerEnd)
 
     def acknowledge(self, next_sequence: Sequence) -> None:
-        """Forget all frames before ``next_sequence``; repeats do no harm."""
-        while self._frames and self._first < next_sequence:
-            self._bytes -= _weigh(self._frames.popleft())
-            self._first += 1
+        """Discard all frames before ``next_sequence``; idempotent."""
+        while self._frames and self._first_sequence < next_sequence:
+            self._buffered_bytes -= _size_in_bytes(self._frames.popleft())
+            self._first_sequence += 1
 
     def list_from(self, next_sequence: Sequence) -> list[Frame] | None:
-        """Return the frames from ``next_sequence`` on, none if some are forgotten."""
-        if next_sequence < self._first:
+        """Return the frames from ``next_sequence`` on, `None` if any was discarded."""
+        if next_sequence < self._first_sequence:
             return None
-        skipped = next_sequence - self._first
+        skipped = next_sequence - self._first_sequence
         return list(self._frames)[skipped:]
 
 
 class FrameSequence:
-    """Orders the frames of one answer and drops repeats."""
+    """Restores the order of the frames of one answer and drops duplicates.
+
+    :ivar next_sequence: sequence number of the next frame to deliver.
+    """
 
     def __init__(self) -> None:
         self.next_sequence = Sequence(0)
-        self._early: dict[int, Frame] = {}
+        self._out_of_order: dict[int, Frame] = {}
 
     def accept(self, frame: Frame) -> list[Frame]:
-        """Return the frames that may be delivered now, in order."""
+        """Store a received frame and return the frames to deliver now, in order."""
         if frame.sequence >= self.next_sequence:
-            self._early.setdefault(frame.sequence, frame)
+            self._out_of_order.setdefault(frame.sequence, frame)
         ready = []
-        while (found := self._early.pop(self.next_sequence, None)) is not None:
-            ready.append(found)
+        while (
+            next_frame := self._out_of_order.pop(self.next_sequence, None)
+        ) is not None:
+            ready.append(next_frame)
             self.next_sequence = Sequence(self.next_sequence + 1)
         return ready
 
 
-def _weigh(frame: Frame) -> int:
+def _size_in_bytes(frame: Frame) -> int:
     return len(frame.data) if isinstance(frame, AnswerBody) else 256
--- a/src/ibishead/sockets.py
+++ b/src/ibishead/sockets.py
@@ -1,4 +1,4 @@
-"""TCP sockets that make a silent path known."""
+"""TCP sockets that detect an unreachable peer within seconds."""
 
 import asyncio
 import socket
@@ -6,66 +6,68 @@
 
 __all__ = ["connect_socket", "reset_on_close", "watch_socket"]
 
-#: Seconds in which a host's system answers a first packet. The system asks again after
-#: a second, when the host may long be back; a new attempt asks at once. After a loss of
-#: power engines were ordered to load their models 0.3 s sooner. The farthest host
-#: answers after 0.04 s, and a slow program isn't asked.
-CONNECT_TIMEOUT = 0.4
+#: Seconds for the TCP handshake. The kernel resends a lost SYN only after 1 s, while a
+#: new connection attempt sends one at once, so a host that has come back is reached
+#: sooner: after a power failure, engines got their orders to load models 0.3 s earlier.
+#: The most distant host answers in 0.04 s, and the kernel completes the handshake
+#: without the program, so that a slow program does not cause a time-out.
+CONNECT_TIMEOUT_SECONDS = 0.4
 
-#: Milliseconds for which sent bytes may stay without acknowledgement. A path that has
-#: gone silent is known within this time instead of the system's many minutes.
-USER_TIMEOUT = 1800
+#: Milliseconds for which sent bytes may stay unacknowledged. A broken network path is
+#: detected within this time instead of the many minutes of the system's default.
+USER_TIMEOUT_MS = 1800
 
-#: Seconds of quiet until the path is probed, between two probes, and lost probes until
-#: the connection is over: a path that goes silent during a long run is known in 4 s.
-PROBE_IDLE = 2
-PROBE_INTERVAL = 1
-PROBE_COUNT = 2
+#: TCP keep-alive: idle seconds before the first probe, seconds between probes, and
+#: unanswered probes after which the connection is closed. A network path that breaks
+#: during a long request is detected within 4 s.
+KEEPALIVE_IDLE_SECONDS = 2
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 2
 
 
 async def connect_socket(address: str, port: int) -> socket.socket:
-    """Return a connected socket.
+    """Return a non-blocking socket that is connected to an IP address.
 
-    :raises OSError: nobody answers there, or not in time.
+    :raises OSError: the connection is refused or is not established in time.
     """
     family = socket.AF_INET6 if ":" in address else socket.AF_INET
-    found = socket.socket(family, socket.SOCK_STREAM)
-    found.setblocking(False)
+    connecting = socket.socket(family, socket.SOCK_STREAM)
+    connecting.setblocking(False)
     try:
-        async with asyncio.timeout(CONNECT_TIMEOUT):
-            await asyncio.get_running_loop().sock_connect(found, (address, port))
+        async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
+            await asyncio.get_running_loop().sock_connect(connecting, (address, port))
     except BaseException:
-        found.close()
+        connecting.close()
         raise
-    return found
+    return connecting
 
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
-    """Let the next close of a connection reset it.
+    """Make the next close of a connection send a TCP reset instead of a FIN.
 
-    Failure: a peer's host stands still with a request in its system's buffer. Ended in
-    order, the connection still hands the request out when the host goes on, seconds
-    after its caller has left, and it runs for nobody. After a reset the peer's first
-    look at the connection tells that it is over, and its buffer may be dropped unread.
+    A peer's host may be suspended while a request waits in its receive buffer. After
+    an orderly close, the peer would still read and run the request when it resumes,
+    seconds after the caller has disconnected. After a reset, the peer's first read
+    fails, and its kernel may discard the unread request.
     """
-    found = transport.get_extra_info("socket")
-    if found is not None and not transport.is_closing():
+    connected = transport.get_extra_info("socket")
+    if connected is not None and not transport.is_closing():
         linger = struct.pack("ii", 1, 0)
-        found.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+        connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
 
 def watch_socket(transport: asyncio.BaseTransport) -> None:
-    """Let the system notice a path that has gone silent without a reset."""
-    found = transport.get_extra_info("socket")
-    if found is None:
+    """Make the kernel detect a network path that has broken without a reset."""
+    connected = transport.get_extra_info("socket")
+    if connected is None:
         return
-    found.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for name, value in (
-        ("TCP_USER_TIMEOUT", USER_TIMEOUT),
-        ("TCP_KEEPIDLE", PROBE_IDLE),
-        ("TCP_KEEPINTVL", PROBE_INTERVAL),
-        ("TCP_KEEPCNT", PROBE_COUNT),
+        ("TCP_USER_TIMEOUT", USER_TIMEOUT_MS),
+        ("TCP_KEEPIDLE", KEEPALIVE_IDLE_SECONDS),
+        ("TCP_KEEPINTVL", KEEPALIVE_INTERVAL_SECONDS),
+        ("TCP_KEEPCNT", KEEPALIVE_PROBES),
     ):
-        # not every system that asyncio runs on has all of them
+        # not all of these options exist on every platform that asyncio supports
         if hasattr(socket, name):
-            found.setsockopt(socket.IPPROTO_TCP, getattr(socket, name), value)
+            connected.setsockopt(socket.IPPROTO_TCP, getattr(socket, name), value)
--- a/src/ibishead/subscription.py
+++ b/src/ibishead/subscription.py
@@ -1,8 +1,8 @@
-"""A program's link to the control replicas, kept up over their failures.
+"""A program's link to the control replicas, with failover between them.
 
-One replica is followed at a time; when it falls silent or has no lease, the next
-is tried. Asks that await an answer are sent again over the new link; control's
-commands are idempotent, so a resend after a lost answer is safe.
+A program is connected to one replica at a time. When that sends nothing or grants no
+lease, the program connects to the next one and resends the requests that await an
+answer. Control commands are idempotent, so a resend after a lost answer is safe.
 """
 
 import asyncio
@@ -41,30 +41,35 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between reports; each renews the lease, and carries one index only, so
-#: that an idle node costs control well under 1 KB a second.
+#: Seconds between reports. Each renews the lease and carries only one index, so that an
+#: idle program costs the control replicas well under 1 KB per second.
 REPORT_INTERVAL = 1.0
 
-#: Seconds between tries to reach a replica, so that a dead quorum isn't hammered.
+#: Seconds between connection attempts, to limit the load while there is no quorum.
 REDIAL_INTERVAL = 0.2
 
-#: Seconds without a live lease after which another replica is tried: this one may
-#: be cut off from its leader while others are not.
-LEASE_PATIENCE = 3.0
+#: Seconds without a valid lease after which the next replica is tried: the current one
+#: may be partitioned from the leader while others are not.
+LEASE_TIMEOUT_SECONDS = 3.0
 
-#: Codes by which control says that it holds no claim and grants none.
-_NOT_HELD = (ErrorCode.STALE_INCARNATION, ErrorCode.UNKNOWN_TARGET)
+#: Codes of refusals after which no claim is held or will be granted.
+_NO_CLAIM_CODES = (ErrorCode.STALE_INCARNATION, ErrorCode.UNKNOWN_TARGET)
 
+#: Heartbeat settings of links to control replicas.
 CONTROL_PACE = Pace(interval=1.0, silence=2.5)
 
 
 class Subscription:
-    """Follows the control state and puts questions to it.
+    """Receives the control state and sends requests to the control replicas.
 
     :param replicas: link endpoints of the control replicas.
-    :param hello: called at each dial.
-    :param services: the services to follow, all when empty.
-    :param changed: called after each delta.
+    :param hello: called at each connection attempt for the hello to send.
+    :param services: services to subscribe to, all if empty.
+    :param changed: called after each update of the catalog.
+    :param connected: awaited after each connection, before messages are received.
+    :param start_at: index of the replica to try first.
+    :param dialer: opens the links.
+    :ivar catalog: local copy of the control state.
     """
 
     def __init__(
@@ -91,17 +96,17 @@
         self._dial = dialer
         self._next_replica = start_at
         self._link: Link | None = None
-        self._waiting: dict[str, tuple[Message, asyncio.Future[Message]]] = {}
-        self._questions = itertools.count(1)
-        self._reports = 0
+        self._pending: dict[str, tuple[Message, asyncio.Future[Message]]] = {}
+        self._question_numbers = itertools.count(1)
+        self._report_number = 0
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to follow the control state, for as long as the program runs."""
-        self._task = asyncio.create_task(self._follow_for_ever())
+        """Start receiving the control state in a background task."""
+        self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop the background task and close the link."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -110,11 +115,11 @@
             await self._link.close()
 
     def is_current(self) -> bool:
-        """Whether a live lease vouches for the documents held."""
+        """Return whether the lease on the documents is valid."""
         return self.catalog.is_current(self._clock.monotonic())
 
     async def register(self, ask: AskRegistration) -> Registration:
-        """Announce a target, however long it takes to reach a quorum."""
+        """Register a target, retrying until a quorum answers."""
         while True:
             with contextlib.suppress(Unavailable):
                 answer = await self._ask(ask.nonce, ask, timeout=2.0)
@@ -123,95 +128,100 @@
             await asyncio.sleep(REDIAL_INTERVAL)
 
     async def claim(self, ask: AskClaim, timeout: float) -> ClaimAnswer:
-        """Ask for the right to run a non-idempotent request.
+        """Ask for the exclusive right to run a non-idempotent request.
 
-        :param timeout: seconds.
-        :raises NotFound: the target isn't registered, and nothing is on record
-            under the key.
-        :raises Unavailable: there is no quorum now, or it hasn't answered in time.
+        :param timeout: seconds to wait for an answer.
+        :raises NotFound: the target is not registered, and no claim is recorded under
+            the idempotency key.
+        :raises Unavailable: there is no quorum, or it has not answered in time.
         """
         if self._link is None and not self.is_current():
-            raise _describe_no_quorum()
-        answer = await self._ask_numbered(ask, timeout)
+            raise _make_no_quorum_error()
+        answer = await self._ask_with_number(ask, timeout)
         match answer:
             case ClaimAnswer():
                 return answer
-            case Refusal(code=code) if code in _NOT_HELD:
+            case Refusal(code=code) if code in _NO_CLAIM_CODES:
                 raise NotFound(answer.reason, "choose another target", code=code)
-        raise _describe_no_quorum()
+        raise _make_no_quorum_error()
 
     async def resolve(self, ask: ResolveClaim, timeout: float) -> ClaimAnswer:
-        """Record how a claimed request ended.
+        """Record the outcome of a claimed request.
 
-        :raises Unavailable: no quorum has answered in time; ask again.
+        :param timeout: seconds to wait for an answer.
+        :raises Unavailable: no quorum has answered in time; the caller may retry.
         """
-        answer = await self._ask_numbered(ask, timeout)
+        answer = await self._ask_with_number(ask, timeout)
         if isinstance(answer, ClaimAnswer):
             return answer
-        raise _describe_no_quorum()
+        raise _make_no_quorum_error()
 
     async def ask_permit(self, ask: AskPermit, timeout: float) -> PermitAnswer:
-        """Ask for one load from the weight store.
+        """Ask for a permit for one load from the weight store.
 
-        :raises Unavailable: no permit has come in time.
+        :param timeout: seconds to wait for an answer.
+        :raises Unavailable: no permit was granted in time.
         """
-        answer = await self._ask(_name_permit(ask), ask, timeout)
+        answer = await self._ask(_permit_id(ask), ask, timeout)
         if isinstance(answer, PermitAnswer):
             return answer
-        raise _describe_no_quorum()
+        raise _make_no_quorum_error()
 
     def release_permit(self, release: ReleasePermit) -> None:
-        """Give a permit back; when this is lost, the permit runs out by itself."""
+        """Return a permit; if the message is lost, the permit expires."""
         if self._link is not None:
             self._link.send(release)
 
-    async def _ask_numbered(
+    async def _ask_with_number(
         self, ask: AskClaim | ResolveClaim, timeout: float
     ) -> Message:
-        # Asks are sent again while they wait, so answers come twice. Where a claim
-        # stands changes meanwhile, and an answer to an earlier ask about it must not
-        # pass for the answer to this one.
-        ask = msgspec.structs.replace(ask, question=next(self._questions))
-        return await self._ask(_name_question(ask), ask, timeout)
+        # Requests are resent while they are pending, so answers can be duplicated. The
+        # state of a claim changes over time, and an answer to an earlier request must
+        # not be taken for the answer to this one.
+        ask = msgspec.structs.replace(ask, question=next(self._question_numbers))
+        return await self._ask(_question_id(ask), ask, timeout)
 
     async def _ask(self, subject: str, ask: Message, timeout: float) -> Message:
-        _, future = self._waiting.get(subject, (ask, None))
+        _, future = self._pending.get(subject, (ask, None))
         if future is None:
             future = asyncio.get_running_loop().create_future()
-            self._waiting[subject] = (ask, future)
+            self._pending[subject] = (ask, future)
             if self._link is not None:
                 self._link.send(ask)
         try:
             async with asyncio.timeout(timeout):
                 return await asyncio.shield(future)
         except TimeoutError as error:
-            raise _describe_no_quorum() from error
+            raise _make_no_quorum_error() from error
         finally:
-            self._waiting.pop(subject, None)
+            self._pending.pop(subject, None)
 
-    async def _follow_for_ever(self) -> None:
+    async def _run(self) -> None:
         while True:
             endpoint = self._replicas[self._next_replica % len(self._replicas)]
             try:
-                await self._follow(endpoint)
+                await self._receive_from(endpoint)
             except LinkLost as error:
-                logger.debug("control replica lost", extra={"reason": error.message})
+                logger.debug(
+                    "control replica unreachable or link closed",
+                    extra={"reason": error.message},
+                )
             except IbisheadError as error:
                 logger.error(
-                    "control state can't be used", extra={"reason": str(error)}
+                    "cannot apply the control state", extra={"reason": str(error)}
                 )
             except Exception:
-                # A host that stops following for good would be cut off until restart
-                logger.exception("a control link failed inside")
+                # Without this, the host would receive no updates until its restart
+                logger.exception("unexpected error on a control link")
             self._next_replica += 1
             await asyncio.sleep(REDIAL_INTERVAL)
 
-    async def _follow(self, endpoint: Endpoint) -> None:
+    async def _receive_from(self, endpoint: Endpoint) -> None:
         link = await self._dial(
             endpoint, self._hello(), self._clock, CONTROL_PACE, self._tls
         )
         self._link = link
-        reporter = asyncio.create_task(self._report(link))
+        reporter = asyncio.create_task(self._report_periodically(link))
         try:
             link.send(
                 Subscribe(
@@ -221,91 +231,98 @@
                     self._services,
                 )
             )
-            for ask, _ in list(self._waiting.values()):
+            for ask, _ in list(self._pending.values()):
                 link.send(ask)
             if self._connected is not None:
                 await self._connected()
             async for message in link.receive():
-                self._take(message)
+                self._handle(message)
         finally:
             reporter.cancel()
             self._link = None
             await link.close()
 
-    def _take(self, message: Message) -> None:
+    def _handle(self, message: Message) -> None:
         match message:
             case Publish():
-                self._take_publish(message)
+                self._handle_publish(message)
             case Registration():
-                self._settle(message.nonce, message)
+                self._complete(message.nonce, message)
             case ClaimAnswer():
-                self._settle(_name_question(message), message)
+                self._complete(_question_id(message), message)
             case PermitAnswer():
-                self._settle(_name_permit(message), message)
+                self._complete(_permit_id(message), message)
             case Refusal():
-                self._take_refusal(message)
+                self._handle_refusal(message)
                 logger.info(
-                    "control refused",
+                    "control replica refused a request",
                     extra={"subject": message.subject, "reason": message.reason},
                 )
 
-    def _take_publish(self, publish: Publish) -> None:
-        before = self.catalog.index
+    def _handle_publish(self, publish: Publish) -> None:
+        previous_index = self.catalog.index
         self.catalog.apply(publish)
         self.catalog.renew(publish, self._clock.monotonic())
-        if self._link is not None and self.catalog.index > before:
+        if self._link is not None and self.catalog.index > previous_index:
             self._send_report(self._link)
         if self._changed is not None:
             self._changed()
 
-    def _take_refusal(self, refusal: Refusal) -> None:
-        # Without a quorum a claim is refused at once, as its caller should know. Other
-        # asks stay open: they are sent again at the next report, and over the next
-        # link, until their own time is up.
-        subject = _name_question(refusal)
-        ask, _ = self._waiting.get(subject, (None, None))
-        final = refusal.code is ErrorCode.NO_QUORUM or refusal.code in _NOT_HELD
-        if isinstance(ask, AskClaim) and final:
-            self._settle(subject, refusal)
-
-    def _settle(self, subject: str, answer: Message) -> None:
-        waiting = self._waiting.get(subject)
-        if waiting is not None and not waiting[1].done():
-            waiting[1].set_result(answer)
-
-    async def _report(self, link: Link) -> None:
-        patience = self._clock.monotonic() + LEASE_PATIENCE
+    def _handle_refusal(self, refusal: Refusal) -> None:
+        # Without a quorum, a claim fails at once, so that its caller gets the error.
+        # Other requests remain pending: they are resent with the next report and over
+        # the next link until they time out.
+        subject = _question_id(refusal)
+        ask, _ = self._pending.get(subject, (None, None))
+        is_final = (
+            refusal.code is ErrorCode.NO_QUORUM or refusal.code in _NO_CLAIM_CODES
+        )
+        if isinstance(ask, AskClaim) and is_final:
+            self._complete(subject, refusal)
+
+    def _complete(self, subject: str, answer: Message) -> None:
+        pending = self._pending.get(subject)
+        if pending is not None and not pending[1].done():
+            pending[1].set_result(answer)
+
+    async def _report_periodically(self, link: Link) -> None:
+        give_up_at = self._clock.monotonic() + LEASE_TIMEOUT_SECONDS
         while not link.closed:
             now = self._clock.monotonic()
             if self.catalog.is_current(now):
-                patience = now + LEASE_PATIENCE
-            elif now > patience:
-                logger.warning("replica gives no lease", extra={"peer": link.peer.host})
+                give_up_at = now + LEASE_TIMEOUT_SECONDS
+            elif now > give_up_at:
+                logger.warning(
+                    "control replica grants no lease, trying the next one",
+                    extra={"peer": link.peer.host},
+                )
                 await link.close()
                 return
             self._send_report(link)
-            for ask, _ in list(self._waiting.values()):
+            for ask, _ in list(self._pending.values()):
                 link.send(ask)
             await asyncio.sleep(REPORT_INTERVAL)
 
     def _send_report(self, link: Link) -> None:
-        self._reports += 1
-        self.catalog.note_report(self._reports, self._clock.monotonic())
-        link.send(ReportInForce(self._hello().host, self.catalog.index, self._reports))
+        self._report_number += 1
+        self.catalog.note_report(self._report_number, self._clock.monotonic())
+        link.send(
+            ReportInForce(self._hello().host, self.catalog.index, self._report_number)
+        )
 
 
-def _name_question(message: AskClaim | ResolveClaim | ClaimAnswer | Refusal) -> str:
+def _question_id(message: AskClaim | ResolveClaim | ClaimAnswer | Refusal) -> str:
     return f"question/{message.question}"
 
 
-def _name_permit(message: AskPermit | PermitAnswer) -> str:
+def _permit_id(message: AskPermit | PermitAnswer) -> str:
     return f"{message.target}/{message.incarnation}/{message.number}"
 
 
-def _describe_no_quorum() -> Unavailable:
+def _make_no_quorum_error() -> Unavailable:
     return Unavailable(
-        "the control quorum didn't answer in time",
-        "send the request again; operators: see `ibishead status`",
+        "no quorum of control replicas answered in time",
+        "send the request again; operators: check `ibishead status`",
         code=ErrorCode.NO_QUORUM,
         retry_after=timedelta(seconds=2),
     )
--- a/src/ibishead/tls.py
+++ b/src/ibishead/tls.py
@@ -1,7 +1,7 @@
-"""TLS contexts: mutual between programs, and toward callers and operators.
+"""TLS contexts: mutual TLS between programs, server-only TLS for callers and operators.
 
-Programs address one another by IP number, so certificates carry IP addresses as
-subject alternative names.
+Programs connect to one another by IP address, so their certificates need the IP
+address as subject alternative name.
 """
 
 import ssl
@@ -19,14 +19,14 @@
 
 
 def make_server_context(pair: KeyPair, client_ca: Path | None = None) -> ssl.SSLContext:
-    """Return a context to listen with.
+    """Return a context for a server.
 
-    :param client_ca: demand a certificate of this authority from every client.
-    :raises SettingsFault: a file doesn't hold what it should.
+    :param client_ca: if given, clients need a certificate issued by this authority.
+    :raises SettingsFault: a file cannot be read or holds no valid certificate or key.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    _load_pair(context, pair)
+    _load_key_pair(context, pair)
     if client_ca is not None:
         context.verify_mode = ssl.CERT_REQUIRED
         _load_authority(context, client_ca)
@@ -34,19 +34,19 @@
 
 
 def make_client_context(peer: PeerTls) -> ssl.SSLContext:
-    """Return a context to dial other programs with.
+    """Return a context for connections to other programs.
 
-    :raises SettingsFault: a file doesn't hold what it should.
+    :raises SettingsFault: a file cannot be read or holds no valid certificate or key.
     """
     context = make_operator_context(peer.ca)
-    _load_pair(context, peer.pair)
+    _load_key_pair(context, peer.pair)
     return context
 
 
 def make_operator_context(ca: Path) -> ssl.SSLContext:
-    """Return a context that trusts one authority and shows no certificate.
+    """Return a client context that trusts one authority and sends no certificate.
 
-    :raises SettingsFault: the file doesn't hold what it should.
+    :raises SettingsFault: the file cannot be read or holds no valid certificate.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -55,9 +55,9 @@
 
 
 def check_files(peer: PeerTls | None, http: KeyPair | None) -> None:
-    """Load every file once, so that a wrong one is told at start.
+    """Load every file once, so that an invalid file is reported at start.
 
-    :raises SettingsFault: a file doesn't hold what it should.
+    :raises SettingsFault: a file cannot be read or holds no valid certificate or key.
     """
     if peer is not None:
         make_client_context(peer)
@@ -66,13 +66,13 @@
         make_server_context(http)
 
 
-def _load_pair(context: ssl.SSLContext, pair: KeyPair) -> None:
+def _load_key_pair(context: ssl.SSLContext, pair: KeyPair) -> None:
     try:
         context.load_cert_chain(pair.certificate, pair.key)
     except (OSError, ssl.SSLError) as error:
         raise SettingsFault(
-            f"{pair.certificate} and {pair.key} can't be used: {error}",
-            "name a certificate in PEM and its own key without a passphrase",
+            f"cannot load certificate {pair.certificate} with key {pair.key}: {error}",
+            "set a PEM certificate and its own key without a passphrase",
         ) from error
 
 
@@ -81,5 +81,6 @@
         context.load_verify_locations(ca)
     except (OSError, ssl.SSLError) as error:
         raise SettingsFault(
-            f"{ca} can't be used: {error}", "name the authority's certificate in PEM"
+            f"cannot load the authority's certificate {ca}: {error}",
+            "set a PEM file with the authority's certificate",
         ) from error
--- a/src/ibishead/web.py
+++ b/src/ibishead/web.py
@@ -1,7 +1,8 @@
-"""A server of HTTP by h11 over asyncio streams.
+"""An HTTP/1.1 server, built on h11 and asyncio streams.
 
-Answers may stream. The server bounds header size, body size and time, so that
-malformed, oversized, slow or cut-off input gets a defined answer and is dropped.
+Answers may be streamed. The server limits header size, body size and durations, so that
+malformed, oversized, slow or truncated requests get a defined error answer, after which
+the connection is closed.
 """
 
 import asyncio
@@ -38,31 +39,31 @@
 
 _READ_SIZE = 64 * 1024
 
-#: Bytes that may wait in the process for a caller who reads slowly.
-MAX_UNWRITTEN = 64 * 1024
+#: Bytes that may wait in the write buffer of a connection before `send` blocks.
+MAX_UNSENT_BYTES = 64 * 1024
 
-#: Connections that may wait to be accepted.
+#: Length of the listening socket's queue of connections that are not yet accepted.
 BACKLOG = 1024
 
-#: Seconds from the end of listening until connections without a request are closed, at
-#: a planned stop. What callers sent before is read by then, also on a slow host.
-LAST_REQUEST_TIME = 0.25
+#: Seconds from the end of listening until idle connections are closed in a planned
+#: stop; long enough to read requests that were sent before, even on a slow host.
+LAST_REQUEST_SECONDS = 0.25
 
-#: Bytes of a header besides name and value; thousands of tiny ones add up.
+#: Bytes of a header line besides name and value; significant with many short headers.
 _HEADER_OVERHEAD = len(": \r\n")
 
 
 @dataclass(frozen=True)
 class Limits:
-    """Bounds on one connection.
-
-    :param header_bytes: largest request line and headers together.
-    :param body_bytes: largest body.
-    :param header_seconds: time for the headers to arrive, from their first byte.
-    :param body_seconds: time for the body to arrive.
-    :param idle_seconds: time that a kept connection may wait for a request.
-    :param write_seconds: time for a reader to make room for more of an answer.
-    :param connections: open at once.
+    """Limits of a server and its connections.
+
+    :param header_bytes: largest size of request target and headers together.
+    :param body_bytes: largest size of a request body.
+    :param header_seconds: time-out for the headers, from their first byte.
+    :param body_seconds: time-out for the request body.
+    :param idle_seconds: time-out for the next request on a persistent connection.
+    :param write_seconds: time-out for a caller to read enough for more data to be sent.
+    :param connections: largest number of open connections.
     """
 
     header_bytes: int = 32 * 1024
@@ -76,11 +77,11 @@
 
 @dataclass(frozen=True)
 class WebRequest:
-    """One request, body included.
+    """A received request with its body.
 
-    :param path: as sent, without the query.
-    :param headers: names in lower case, in order.
-    :param peer: the caller's IP number.
+    :param path: path as sent, without the query.
+    :param headers: headers in the order received, with names in lower case.
+    :param peer: IP address of the caller.
     """
 
     method: str
@@ -92,12 +93,12 @@
 
     @property
     def target(self) -> str:
-        """The path with its query."""
+        """The path and query."""
         return f"{self.path}?{self.query}" if self.query else self.path
 
 
 def encode_error(error: IbisheadError) -> tuple[Headers, bytes]:
-    """Return headers and JSON body that show an error to a caller."""
+    """Return headers and JSON body of an error answer."""
     document = {
         "error": {
             "code": error.code.value,
@@ -107,16 +108,18 @@
     }
     headers: Headers = (("content-type", "application/json"),)
     if error.retry_after is not None:
-        # Whole seconds by RFC 9110, rounded up so that nobody comes back too soon
+        # RFC 9110 allows whole seconds only; rounded up to prevent an early retry
         seconds = max(1, -(-int(error.retry_after.total_seconds() * 1000) // 1000))
         headers += (("retry-after", str(seconds)),)
     return headers, msgspec.json.encode(document)
 
 
 class Exchange:
-    """One request and the answer being written to it.
+    """A request and the answer that is being written to it.
 
-    :param gone: set once the caller has closed its side.
+    :ivar gone: set once the caller has closed its side of the connection.
+    :ivar started: whether status and headers were sent.
+    :ivar finished: whether the answer is complete.
     """
 
     def __init__(self, request: WebRequest, connection: "_ServerConnection") -> None:
@@ -127,25 +130,28 @@
         self._connection = connection
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send status and headers; without a length the body goes out in chunks."""
+        """Send status and headers.
+
+        The body is sent chunked unless the headers hold its length.
+        """
         self.started = True
         await self._connection.send(_make_head(status, headers))
 
     async def send(self, data: bytes) -> None:
-        """Send a piece of the body.
+        """Send a part of the body.
 
-        :raises LinkLost: the caller has left or doesn't read.
+        :raises LinkLost: the caller has disconnected or does not read.
         """
         if data:
             await self._connection.send(h11.Data(data=data))
 
     async def finish(self) -> None:
-        """End the answer, which is whole."""
+        """Complete the answer."""
         self.finished = True
         await self._connection.send(h11.EndOfMessage())
 
     async def respond(self, status: int, headers: Headers, body: bytes = b"") -> None:
-        """Send a whole answer at once."""
+        """Send a complete answer."""
         self.started = self.finished = True
         length = (("content-length", str(len(body))),)
         events: list[h11.Event] = [_make_head(status, headers + length)]
@@ -155,19 +161,22 @@
 
     async def respond_error(self, error: IbisheadError, headers: Headers = ()) -> None:
         """Send an error as JSON with its code, message and remedy."""
-        own, body = encode_error(error)
-        await self.respond(error.status, own + headers, body)
+        error_headers, body = encode_error(error)
+        await self.respond(error.status, error_headers + headers, body)
 
     def abort(self) -> None:
-        """Cut the connection, so that a caller sees that the answer isn't whole."""
+        """Close the connection, which shows the caller that the answer is truncated."""
         self._connection.abort()
 
 
 class WebServer:
-    """Serves HTTP/1.1.
+    """An HTTP/1.1 server.
 
-    :param handler: answers each exchange; what it raises becomes an answer if none
-        has been started, and a cut connection otherwise.
+    :param handler: answers each exchange. An exception becomes an error answer if none
+        was started, and closes the connection otherwise.
+    :param tls: context for HTTPS; without it, the server speaks plain HTTP.
+    :ivar closing: whether answers ask callers to close their connections.
+    :ivar stopping: whether connections are closed after their current request.
     """
 
     def __init__(
@@ -186,7 +195,7 @@
         self.closing = False
 
     async def start(self, endpoint: Endpoint) -> Endpoint:
-        """Listen, and return the endpoint with the port that was taken."""
+        """Start listening, and return the endpoint with the actual port."""
         self._listener = socket.create_server(
             (endpoint.address, endpoint.port),
             family=socket.AF_INET6 if ":" in endpoint.address else socket.AF_INET,
@@ -199,30 +208,30 @@
 
     @property
     def connection_count(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         return len(self._connections)
 
     def begin_stop(self) -> None:
-        """Ask callers, with each answer, to use no connection again.
+        """Ask callers, with each answer, to close their connections.
 
-        A kept connection that is closed while its caller writes to it loses that
-        request; callers that have been asked open no such race.
+        Closing a persistent connection loses a request that its caller is sending at
+        that moment. Callers that were asked to close it do not send another.
         """
         self.closing = True
 
     async def stop(self, grace: float = 600.0) -> None:
-        """Stop listening, let every answer in progress finish, close the rest.
+        """Stop listening, finish the answers in progress and close all connections.
 
-        Failure: a caller connects and sends a request just before the port closes. Its
-        connection waits to be accepted, or is accepted and not read, and is dropped:
-        the caller has lost a request around planned work. So all that wait are accepted
-        first, and connections without a request are closed a moment later.
+        A caller may connect and send a request just before the port is closed. That
+        request would be lost in a planned stop if its connection were still in the
+        accept queue, or accepted and not yet read. So all queued connections are
+        accepted first, and idle connections are closed only after a short delay.
 
-        :param grace: seconds after which what still runs is cut.
+        :param grace: seconds after which answers in progress are cut off.
         """
         self.closing = True
         await self._stop_listening()
-        await asyncio.sleep(min(LAST_REQUEST_TIME, grace))
+        await asyncio.sleep(min(LAST_REQUEST_SECONDS, grace))
         self.stopping = True
         for connection in list(self._connections):
             connection.close_if_idle()
@@ -236,12 +245,12 @@
     async def _stop_listening(self) -> None:
         if self._server is None or self._listener is None:
             return
-        # Nothing may wait between the last look and the close: a connection that comes
-        # in between is reset.
-        waiting = _accept_waiting(self._listener)
+        # There must be no await between accepting the queue and closing: a connection
+        # that arrives in between would be reset.
+        queued = _accept_queued(self._listener)
         self._server.close()
         loop = asyncio.get_running_loop()
-        for accepted in waiting:
+        for accepted in queued:
             try:
                 await loop.connect_accepted_socket(
                     lambda: asyncio.StreamReaderProtocol(
@@ -251,7 +260,10 @@
                     ssl=self._tls,
                 )
             except (OSError, TimeoutError) as error:
-                logger.info("caller lost", extra={"reason": str(error)})
+                logger.info(
+                    "queued connection lost while the server stops",
+                    extra={"reason": str(error)},
+                )
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -267,7 +279,9 @@
         except (ConnectionError, LinkLost, TimeoutError):
             pass
         except h11.ProtocolError as error:
-            logger.info("connection dropped", extra={"reason": str(error)})
+            logger.info(
+                "connection closed on a protocol error", extra={"reason": str(error)}
+            )
         finally:
             self._connections.discard(connection)
             connection.abort()
@@ -310,11 +324,10 @@
             self._writer.close()
 
     async def flush(self) -> None:
-        """Return once the caller's system has taken the last answer.
+        """Wait until the last answer has left the write buffer.
 
-        Failure: the last answer of a connection is long, or its link slow. Closing the
-        connection while a part of it still waits here would cut that part off, and the
-        caller has half an answer.
+        Closing the connection earlier would truncate a long answer, or one to a caller
+        that reads slowly.
         """
         transport = self._writer.transport
         transport.set_write_buffer_limits(high=0)
@@ -334,17 +347,17 @@
             return
         transport = self._writer.transport
         if transport.is_closing():
-            raise _describe_lost_caller()
+            raise _make_caller_lost_error()
         self._writer.write(data)
-        # What the kernel takes at once needs no wait, and no timer for it
-        if transport.get_write_buffer_size() <= MAX_UNWRITTEN:
+        # Data that the kernel takes at once needs neither a wait nor a timer
+        if transport.get_write_buffer_size() <= MAX_UNSENT_BYTES:
             return
         try:
-            # A caller that reads slowly holds memory; one that stops is let go
+            # Unread data occupies memory, so a stalled caller is disconnected
             async with asyncio.timeout(self._limits.write_seconds):
                 await self._writer.drain()
         except (ConnectionError, TimeoutError) as error:
-            raise _describe_lost_caller() from error
+            raise _make_caller_lost_error() from error
 
     def _encode(self, event: h11.Event) -> bytes:
         if isinstance(event, h11.Response) and self._server.closing:
@@ -361,11 +374,11 @@
                 return None
             body = await self._read_body(head)
         except h11.RemoteProtocolError as error:
-            await self._refuse(_classify(error))
+            await self._refuse(_convert_protocol_error(error))
             return None
         except (TimeoutError, IbisheadError) as error:
             await self._refuse(
-                error if isinstance(error, IbisheadError) else _describe_slow_caller()
+                error if isinstance(error, IbisheadError) else _make_timeout_error()
             )
             return None
         try:
@@ -376,7 +389,7 @@
             )
         except UnicodeDecodeError:
             await self._refuse(
-                InvalidInput("headers are no UTF-8", "encode them as UTF-8")
+                InvalidInput("the headers are not UTF-8", "encode the headers as UTF-8")
             )
             return None
         return WebRequest(
@@ -384,7 +397,7 @@
         )
 
     async def _read_head(self) -> h11.Request | None:
-        wait = self._limits.idle_seconds
+        timeout = self._limits.idle_seconds
         while True:
             _check_line_ends(self._state.trailing_data[0])
             event = self._state.next_event()
@@ -397,11 +410,11 @@
                 case h11.ConnectionClosed():
                     return None
             if event is not h11.NEED_DATA:
-                raise h11.RemoteProtocolError("a request was expected")
+                raise h11.RemoteProtocolError("not a request")
             started = bool(self._state.trailing_data[0])
-            wait = self._limits.header_seconds if started else wait
+            timeout = self._limits.header_seconds if started else timeout
             try:
-                async with asyncio.timeout(wait):
+                async with asyncio.timeout(timeout):
                     data = await self._reader.read(_READ_SIZE)
             except TimeoutError:
                 if not started:
@@ -412,10 +425,10 @@
     async def _read_body(self, head: h11.Request) -> bytes:
         length = next((v for k, v in head.headers if k == b"content-length"), b"0")
         if int(length) > self._limits.body_bytes:
-            raise _describe_large_body(self._limits)
+            raise _make_body_too_large_error(self._limits)
         if self._state.they_are_waiting_for_100_continue:
             await self.send(h11.InformationalResponse(status_code=100, headers=[]))
-        pieces: list[bytes] = []
+        parts: list[bytes] = []
         size = 0
         async with asyncio.timeout(self._limits.body_seconds):
             while True:
@@ -424,18 +437,20 @@
                     case h11.Data():
                         size += len(event.data)
                         if size > self._limits.body_bytes:
-                            raise _describe_large_body(self._limits)
-                        pieces.append(bytes(event.data))
+                            raise _make_body_too_large_error(self._limits)
+                        parts.append(bytes(event.data))
                     case h11.EndOfMessage():
-                        return b"".join(pieces)
+                        return b"".join(parts)
                     case h11.ConnectionClosed():
-                        raise h11.RemoteProtocolError("the body is cut off")
+                        raise h11.RemoteProtocolError(
+                            "the connection was closed before the end of the body"
+                        )
                     case _:
                         self._state.receive_data(await self._reader.read(_READ_SIZE))
 
     async def _answer(self, request: WebRequest) -> None:
         exchange = Exchange(request, self)
-        watch = asyncio.create_task(self._watch_caller(exchange))
+        watch = asyncio.create_task(self._watch_for_disconnect(exchange))
         try:
             await self._server.handler(exchange)
         except IbisheadError as error:
@@ -446,14 +461,14 @@
         except ConnectionError:
             raise
         except Exception:
-            logger.exception("a request failed inside")
+            logger.exception("unexpected error while handling a request")
             if exchange.started:
                 self._writer.transport.abort()
                 return
             await exchange.respond_error(
                 IbisheadError(
-                    "the program failed on this request",
-                    "report the request id with the log line of the same time",
+                    "internal error while handling this request",
+                    "report the request id and the log lines of that time",
                 )
             )
         finally:
@@ -461,10 +476,10 @@
             with contextlib.suppress(asyncio.CancelledError, ConnectionError):
                 await watch
 
-    async def _watch_caller(self, exchange: Exchange) -> None:
-        # While an answer is made nobody else reads, so a caller that leaves would
-        # go unseen until the next write. What a pipelining caller sends is kept,
-        # up to one read, for the next cycle.
+    async def _watch_for_disconnect(self, exchange: Exchange) -> None:
+        # Nothing else reads from the connection while a request is handled, so a
+        # disconnected caller would be noticed only at the next write. Data of a
+        # pipelining caller is stored for the next request, up to one read.
         try:
             data = await self._reader.read(_READ_SIZE)
         except ConnectionError:
@@ -476,41 +491,46 @@
             self._state.receive_data(b"")
 
     async def _refuse(self, error: IbisheadError) -> None:
-        # The rest of the input can't be trusted to be a request: answer and close
+        # The rest of the input may not start at a request boundary: answer and close
         if self._state.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        own, body = encode_error(error)
-        headers = own + (("content-length", str(len(body))), ("connection", "close"))
+        error_headers, body = encode_error(error)
+        headers = error_headers + (
+            ("content-length", str(len(body))),
+            ("connection", "close"),
+        )
         head = _make_head(error.status, headers)
         await self.send(head, h11.Data(data=body), h11.EndOfMessage())
 
 
-def _accept_waiting(listener: socket.socket) -> list[socket.socket]:
-    waiting = []
-    # a stopped server's listener is closed already
+def _accept_queued(listener: socket.socket) -> list[socket.socket]:
+    queued = []
+    # the listener of a stopped server is already closed
     while listener.fileno() >= 0:
         try:
-            waiting.append(listener.accept()[0])
+            queued.append(listener.accept()[0])
         except BlockingIOError:
             break
         except ConnectionAbortedError:
-            # that caller has left, others may still wait
+            # this caller has disconnected, others may still be in the queue
             continue
         except OSError as error:
-            logger.warning("callers not accepted", extra={"reason": str(error)})
+            logger.warning(
+                "cannot accept queued connections", extra={"reason": str(error)}
+            )
             break
-    return waiting
+    return queued
 
 
 def _make_head(status: int, headers: Headers) -> h11.Response:
     return h11.Response(
         status_code=status,
         headers=[(key.encode(), value.encode()) for key, value in headers],
-        reason=_find_reason(status).encode(),
+        reason=_find_reason_phrase(status).encode(),
     )
 
 
-def _find_reason(status: int) -> str:
+def _find_reason_phrase(status: int) -> str:
     try:
         return HTTPStatus(status).phrase
     except ValueError:
@@ -518,49 +538,53 @@
 
 
 def _check_version(head: h11.Request) -> None:
-    # h11 takes any digit; another major version may mean something else by it all
+    # h11 accepts any digit, but other major versions have a different message format
     if not head.http_version.startswith(b"1."):
-        error = InvalidInput("not HTTP/1", "send HTTP/1.1 by RFC 9112")
+        error = InvalidInput("unsupported HTTP version", "send HTTP/1.1 (RFC 9112)")
         error.status = HTTPStatus.HTTP_VERSION_NOT_SUPPORTED
         raise error
 
 
 def _check_framing(head: h11.Request) -> None:
-    # Failure: a length and chunks together. Another server before or behind this one
-    # may go by the other of the two, and takes a part of the body for a request.
+    # Request smuggling: with both headers, another server in the chain may find the end
+    # of the body by the other one, and take a part of the body for a request.
     names = {name for name, _ in head.headers}
     if b"content-length" in names and b"transfer-encoding" in names:
-        raise InvalidInput("a length and chunks together", "send one of the two")
+        raise InvalidInput(
+            "content-length and transfer-encoding together", "send only one of them"
+        )
 
 
 def _check_line_ends(data: bytes) -> None:
-    # Failure: a bare line feed ends a line for h11 but not for stricter servers, so
-    # that the two see different headers, or one sees a second request.
+    # Request smuggling: h11 ends a line at a bare line feed, stricter servers do not.
+    # The two would see different headers, or only one of them a second request.
     end = data.find(b"\r\n\r\n")
     head = data if end < 0 else data[:end]
     if head.count(b"\n") != head.count(b"\r\n"):
-        raise InvalidInput("a bare line feed in the headers", "end lines by CR LF")
+        raise InvalidInput(
+            "bare line feed in the headers", "end header lines with CR LF"
+        )
 
 
-def _describe_lost_caller() -> LinkLost:
-    return LinkLost("the caller left", "send the request again")
+def _make_caller_lost_error() -> LinkLost:
+    return LinkLost("the caller has disconnected", "send the request again")
 
 
 def _check_head_size(head: h11.Request, limits: Limits) -> None:
-    # h11 bounds only what is still incomplete; a head that came in one read passes
+    # h11 limits incomplete heads only, not a head that arrives in one read
     size = len(head.target)
     size += sum(len(k) + len(v) + _HEADER_OVERHEAD for k, v in head.headers)
     if size > limits.header_bytes:
-        raise _describe_large_head()
+        raise _make_headers_too_large_error()
 
 
-def _classify(error: h11.RemoteProtocolError) -> IbisheadError:
+def _convert_protocol_error(error: h11.RemoteProtocolError) -> IbisheadError:
     if error.error_status_hint == HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE:
-        return _describe_large_head()
-    return InvalidInput(f"no valid HTTP: {error}", "send HTTP/1.1 by RFC 9112")
+        return _make_headers_too_large_error()
+    return InvalidInput(f"invalid HTTP: {error}", "send HTTP/1.1 (RFC 9112)")
 
 
-def _describe_large_head() -> IbisheadError:
+def _make_headers_too_large_error() -> IbisheadError:
     error = TooLarge(
         "the headers are too large",
         "send fewer or shorter headers",
@@ -570,17 +594,17 @@
     return error
 
 
-def _describe_slow_caller() -> IbisheadError:
+def _make_timeout_error() -> IbisheadError:
     error = InvalidInput(
-        "the request took too long to arrive",
-        "send it faster or in smaller parts",
+        "the request was not received in time",
+        "send the request faster or split it into smaller ones",
         code=ErrorCode.REQUEST_TIMEOUT,
     )
     error.status = HTTPStatus.REQUEST_TIMEOUT
     return error
 
 
-def _describe_large_body(limits: Limits) -> IbisheadError:
+def _make_body_too_large_error(limits: Limits) -> IbisheadError:
     return TooLarge(
-        f"the body exceeds {limits.body_bytes} bytes", "send a smaller body"
+        f"the request body exceeds {limits.body_bytes} bytes", "send a smaller body"
     )
--- a/src/ibishead/webclient.py
+++ b/src/ibishead/webclient.py
@@ -1,4 +1,4 @@
-"""A client connection of HTTP by h11 over asyncio streams."""
+"""An HTTP/1.1 client connection, built on h11 and asyncio streams."""
 
 import asyncio
 import ssl
@@ -18,24 +18,28 @@
 
 @dataclass
 class ClientAnswer:
-    """Status and headers of an answer, and its body as it arrives."""
+    """Status, headers and streamed body of an answer.
+
+    :param chunks: chunks of the body as they arrive.
+    """
 
     status: int
     headers: Headers
     chunks: AsyncIterator[bytes]
 
     async def read(self) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        :raises LinkLost: the connection ended before the body was whole.
+        :raises LinkLost: the connection was closed before the end of the body.
         """
         return b"".join([chunk async for chunk in self.chunks])
 
 
 class ClientConnection:
-    """One connection to one server, for one exchange at a time.
+    """A connection to a server that carries one request at a time.
 
-    :ivar idle: the last exchange is over and another may follow.
+    :param host: value of the host header.
+    :ivar idle: whether the last exchange is complete and a request can be sent.
     """
 
     def __init__(
@@ -51,9 +55,11 @@
     async def open(
         cls, endpoint: Endpoint, tls: ssl.SSLContext | None = None, timeout: float = 2.0
     ) -> "ClientConnection":
-        """Connect.
+        """Connect to a server.
 
-        :raises LinkLost: nobody answers there in time; nothing was sent.
+        :param timeout: seconds for connecting, TLS handshake included.
+        :raises LinkLost: the connection is not established in time; no request was
+            sent.
         """
         try:
             async with asyncio.timeout(timeout):
@@ -65,31 +71,39 @@
                 )
         except (OSError, TimeoutError) as error:
             raise LinkLost(
-                f"no connection to {endpoint}: {error or type(error).__name__}",
-                "check that the server runs there",
+                f"cannot connect to {endpoint}: {error or type(error).__name__}",
+                "check that the server is running",
             ) from error
         return cls(reader, writer, str(endpoint))
 
     @property
     def closed(self) -> bool:
-        """Whether no further exchange is possible."""
+        """Whether the connection can carry no further request."""
         return self._writer.is_closing() or self._reader.at_eof()
 
     async def ask(
         self, method: str, target: str, headers: Headers = (), body: bytes = b""
     ) -> ClientAnswer:
-        """Send a request and return the answer once its headers are there.
+        """Send a request and return the answer once its headers have arrived.
 
-        :raises LinkLost: the connection ended first; the request may have run.
+        :param target: path with query.
+        :param headers: further headers; ``host`` and ``content-length`` are set here.
+        :raises InvalidInput: method, target or headers are not valid HTTP.
+        :raises LinkLost: the connection was closed first; the server may have run the
+            request.
         """
         self.idle = False
-        own = [("host", self._host), ("content-length", str(len(body)))]
-        given = [(k, v) for k, v in headers if k not in ("host", "content-length")]
+        own_headers = [("host", self._host), ("content-length", str(len(body)))]
+        other_headers = [
+            (k, v) for k, v in headers if k not in ("host", "content-length")
+        ]
         try:
             request = h11.Request(
                 method=method.encode("ascii"),
                 target=target.encode("ascii"),
-                headers=[(k.encode(), v.encode()) for k, v in own + given],
+                headers=[
+                    (k.encode(), v.encode()) for k, v in own_headers + other_headers
+                ],
             )
             data = self._state.send(request) or b""
             if body:
@@ -98,7 +112,7 @@
         except (h11.LocalProtocolError, UnicodeEncodeError) as error:
             self.close()
             raise InvalidInput(
-                f"the request can't be sent: {error}", "mend method, path or headers"
+                f"cannot send the request: {error}", "correct method, path or headers"
             ) from error
         try:
             self._writer.write(data)
@@ -107,16 +121,16 @@
             while isinstance(head, h11.InformationalResponse):
                 head = await self._next_event()
         except (ConnectionError, h11.RemoteProtocolError) as error:
-            raise self._lose(error) from error
+            raise self._close_as_lost(error) from error
         if not isinstance(head, h11.Response):
-            raise self._lose("closed before it answered")
+            raise self._close_as_lost("closed before the answer")
         answer_headers = tuple(
             (k.decode("ascii"), v.decode("utf-8", "replace")) for k, v in head.headers
         )
         return ClientAnswer(head.status_code, answer_headers, self._read_chunks())
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection at once."""
         self._writer.transport.abort()
 
     async def _read_chunks(self) -> AsyncIterator[bytes]:
@@ -128,9 +142,9 @@
                     continue
                 if isinstance(event, h11.EndOfMessage):
                     break
-                raise self._lose("closed before the body was whole")
+                raise self._close_as_lost("closed before the end of the body")
         except (ConnectionError, h11.RemoteProtocolError) as error:
-            raise self._lose(error) from error
+            raise self._close_as_lost(error) from error
         if self._state.our_state is h11.DONE and self._state.their_state is h11.DONE:
             self._state.start_next_cycle()
             self.idle = True
@@ -141,12 +155,14 @@
         while (event := self._state.next_event()) is h11.NEED_DATA:
             self._state.receive_data(await self._reader.read(_READ_SIZE))
         if not isinstance(event, h11.Event):
-            raise h11.RemoteProtocolError("the server paused")
+            raise h11.RemoteProtocolError(
+                "the server switched protocols or paused the connection"
+            )
         return event
 
-    def _lose(self, cause: object) -> LinkLost:
+    def _close_as_lost(self, cause: object) -> LinkLost:
         self.close()
         return LinkLost(
             f"the connection to {self._host} was lost: {cause}",
-            "check the server's own log",
+            "see the server's log",
         )
--- a/tests/test_bad_links.py
+++ b/tests/test_bad_links.py
@@ -13,7 +13,7 @@
 from ibishead.clock import SystemClock
 from ibishead.codec import MAX_FRAME, encode, encode_batch
 from ibishead.ids import HostId
-from ibishead.links import Endpoint, LinkServer, Pace, _drop, dial
+from ibishead.links import Endpoint, LinkServer, Pace, _abort_transport, dial
 from ibishead.messages import AnswerBody, Hello, ReportInForce, Role
 
 LOOPBACK = Endpoint("127.0.0.1", 0)
@@ -126,7 +126,7 @@
         with contextlib.suppress(BlockingIOError):
             far.recv(1_000_000)
         await asyncio.sleep(0)
-    _drop(transport)
+    _abort_transport(transport)
     far.close()
 
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -42,7 +42,7 @@
 
 
 def test_buffer_refuses_a_gap():
-    with pytest.raises(ValueError, match="follows"):
+    with pytest.raises(ValueError, match="expected"):
         FrameBuffer().append(make_body(1))
 
 
