--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -310,7 +310,7 @@
         "            self._out_of_order.setdefault(frame.sequence, frame)\n"
         "        ready = []",
         "self._out_of_order.setdefault(frame.sequence, frame)\n        ready = [frame]",
-        ("tests/test_session.py::test_frames_come_once_and_in_order",),
+        ("tests/test_session.py::test_frames_are_delivered_once_and_in_order",),
     ),
     Guard(
         "doubt belongs to the request",
@@ -379,7 +379,9 @@
         "session.py",
         "if suspended:",
         "if False:",
-        ("tests/test_links.py::test_monitor_doesnt_blame_the_peer_for_its_own_freeze",),
+        (
+            "tests/test_links.py::test_own_suspension_is_not_counted_as_silence_of_the_peer",
+        ),
     ),
 )
 
--- a/tests/fake_links.py
+++ b/tests/fake_links.py
@@ -1,10 +1,10 @@
-"""A peer's end of a link, for tests that play the other program."""
+"""A fake link for tests that act as the peer program."""
 
 import asyncio
 
 
 class FakeLink:
-    """Keeps what was sent, and yields what a test puts into its inbox."""
+    """Records sent messages, and yields those that a test puts into its inbox."""
 
     def __init__(self) -> None:
         self.closed = self.overdue = False
--- a/tests/test_bad_links.py
+++ b/tests/test_bad_links.py
@@ -1,4 +1,4 @@
-"""A link closes on what it can't understand, and the server serves on."""
+"""An invalid frame closes its link only; the server continues to serve others."""
 
 import asyncio
 import contextlib
@@ -59,11 +59,11 @@
         pytest.param([HELLO, "text"], id="text"),
     ],
 )
-async def test_bad_frame_closes_its_link_alone(server, frames):
+async def test_invalid_frame_closes_only_its_link(server, frames):
     good = await dial(server.endpoint, ENTRY, CLOCK)
     async with asyncio.timeout(30):
         client = await connect(f"ws://{server.endpoint}/")
-        # The library's own close fails with AttributeError when bytes were left
+        # The close of websockets raises AttributeError if bytes were left unsent
         with contextlib.suppress(WebSocketException, AttributeError):
             for frame in frames:
                 await client.send(frame)
@@ -79,8 +79,13 @@
     await good.close()
 
 
-async def test_peer_that_leaves_a_full_link_ends_it():
-    """An entry host never comes back to a control replica that was stopped."""
+async def test_link_is_closed_when_its_peer_leaves_with_unsent_data():
+    """A peer closes its side while data waits to be sent, and then reads that data.
+
+    CPython 3.11 then raises AttributeError when the transport is aborted. Uncaught, it
+    ended the task that reconnects, and an entry host stayed disconnected from a control
+    replica that had been stopped.
+    """
     full = asyncio.Event()
 
     async def leave(reader, writer):
@@ -107,18 +112,18 @@
         await link.close()
 
 
-async def test_transport_that_lost_itself_is_dropped_quietly():
-    """The same, when the reader is the first to abort: the error came from there."""
+async def test_abort_of_a_lost_transport_raises_nothing():
+    """The same AttributeError, raised when the reader of the link aborts it first."""
     near, far = socket.socketpair()
     far.setblocking(False)
     lost = asyncio.Event()
 
-    class Losing(asyncio.Protocol):
+    class LossRecorder(asyncio.Protocol):
         def connection_lost(self, exc):
             lost.set()
 
     loop = asyncio.get_running_loop()
-    transport, _ = await loop.create_connection(Losing, sock=near)
+    transport, _ = await loop.create_connection(LossRecorder, sock=near)
     while not transport.get_write_buffer_size():
         transport.write(bytes(1_000_000))
     transport.close()
@@ -131,7 +136,7 @@
 
 
 async def fill(link):
-    """Send until the kernel takes no more."""
+    """Send until the kernel's buffers are full."""
     while True:
         sent = link.sent_bytes
         link.send(AnswerBody("r1", 1, 0, bytes(1_000_000)))
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""A catalog only moves forward, and its lease is counted from the asking."""
+"""Catalog updates are monotonic, and the lease is counted from the report."""
 
 import pytest
 from hypothesis import given
@@ -54,7 +54,7 @@
     )
 )
 def test_revision_never_goes_down(publishes):
-    """Replicas that were cut off, restarted or are late publish in any order."""
+    """Partitioned, restarted or slow replicas may publish in any order."""
     catalog = Catalog()
     highest = 0
     for revision, whole, index in publishes:
@@ -101,7 +101,7 @@
         ([Publish(2, 0, targets=(make_target(1),)), Publish(1, 0, whole=True)], 1),
     ],
 )
-def test_targets_move_forward(publishes, expected):
+def test_incarnation_of_a_target_never_goes_down(publishes, expected):
     catalog = Catalog()
     for publish in publishes:
         catalog.apply(publish)
@@ -119,14 +119,14 @@
     ],
 )
 def test_lease_counts_from_the_report(sent, answered, lease, asked, current):
-    """An answer is held up for seconds on its way from a replica."""
+    """An answer that is delayed for seconds in transit must not extend the lease."""
     catalog = Catalog()
     catalog.note_report(1, sent)
     catalog.renew(Publish(1, lease, answers=1), answered)
     assert catalog.is_current(asked) is current
 
 
-def test_unasked_lease_is_worth_nothing():
+def test_lease_without_a_report_is_ignored():
     catalog = Catalog()
     catalog.renew(Publish(1, 3.0, answers=7), 0.0)
     assert not catalog.is_current(0.1)
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages survive the codec, and hostile frames are refused with a code."""
+"""Messages are decoded as they were encoded, and invalid frames are rejected."""
 
 import contextlib
 
@@ -61,12 +61,12 @@
         encode([["AnswerBody", "r", 1, 0, "not bytes"]]),
     ],
 )
-def test_hostile_frame_is_refused(frame):
+def test_invalid_frame_is_rejected(frame):
     with pytest.raises(InvalidInput):
         decode_batch(frame)
 
 
 @given(st.binary(max_size=200))
-def test_any_frame_is_decoded_or_refused(frame):
+def test_any_frame_is_decoded_or_rejected(frame):
     with contextlib.suppress(InvalidInput):
         assert isinstance(decode_batch(frame), list)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys open what they should, and stay out of logs."""
+"""API keys permit the right operations and do not appear in logs."""
 
 import logging
 from datetime import timedelta
@@ -27,7 +27,7 @@
     )
 
 
-def test_hash_is_what_the_shell_makes():
+def test_hash_equals_that_of_sha256sum():
     # printf %s abc | sha256sum
     assert hash_key("abc").startswith("ba7816bf8f01cfea414140de5dae2223")
 
@@ -43,7 +43,7 @@
         ("Bearer", ""),
     ],
 )
-def test_bearer_is_read(value, key):
+def test_bearer_token_is_read(value, key):
     assert read_bearer((("authorization", value),)) == key
     assert read_bearer((("x", value),)) == ""
 
@@ -86,6 +86,6 @@
     assert not key or key not in str(vars(caplog.records[0]))
 
 
-def test_no_allowed_key_opens_nothing():
+def test_empty_list_of_allowed_keys_rejects_every_key():
     with pytest.raises(Forbidden):
         require_key("sk-loft", ())
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links carry messages in order, notice silence and close cleanly."""
+"""Links deliver messages in order, detect silent peers and close cleanly."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
         link.send(message)
 
 
-async def test_link_echoes_in_order_and_in_few_frames():
+async def test_messages_are_echoed_in_order():
     server = LinkServer(echo, lambda: AGENT, CLOCK)
     endpoint = await server.start(LOOPBACK)
     link = await dial(endpoint, ENTRY, CLOCK)
@@ -42,7 +42,7 @@
     await server.stop()
 
 
-async def test_dialing_nobody_is_a_lost_link():
+async def test_dial_without_a_listener_raises_link_lost():
     server = LinkServer(echo, lambda: AGENT, CLOCK)
     endpoint = await server.start(LOOPBACK)
     await server.stop()
@@ -51,13 +51,13 @@
     assert caught.value.remedy
 
 
-async def test_silent_peer_is_given_up():
-    """A middlebox forgets a connection: the kernel sees nothing, no message comes."""
+async def test_link_to_a_silent_peer_is_closed():
+    """A middlebox drops a connection, and the kernel reports no error."""
 
-    stuck = asyncio.Event()
+    released = asyncio.Event()
 
     async def stay_silent(link: Link) -> None:
-        await stuck.wait()
+        await released.wait()
 
     pace = Pace(interval=0.02, silence=0.1)
     server = LinkServer(stay_silent, lambda: AGENT, CLOCK, Pace(60, 60))
@@ -65,7 +65,7 @@
     link = await dial(endpoint, ENTRY, CLOCK, pace)
     assert [message async for message in link.receive()] == []
     assert link.closed
-    stuck.set()
+    released.set()
     await server.stop()
 
 
@@ -79,7 +79,7 @@
         ([0.5, 1.0, 1.5, 2.0], [1.2], [LinkAction.PING] * 4),
     ],
 )
-def test_monitor(ticks, heard, expected):
+def test_monitor_pings_and_gives_up(ticks, heard, expected):
     monitor = LinkMonitor(0.0, interval=0.5, silence=2.0)
     actions = []
     for tick in ticks:
@@ -89,8 +89,8 @@
     assert actions == expected
 
 
-def test_monitor_doesnt_blame_the_peer_for_its_own_freeze():
-    """A program is frozen for a minute and thawed; its peer was alive all along."""
+def test_own_suspension_is_not_counted_as_silence_of_the_peer():
+    """After a suspension of a minute, the link to a live peer must not be closed."""
     monitor = LinkMonitor(0.0, interval=0.5, silence=2.0)
     monitor.tick(0.5)
     assert monitor.tick(60.0) is LinkAction.PING
@@ -99,8 +99,11 @@
     assert monitor.tick(62.1) is LinkAction.GIVE_UP
 
 
-async def test_peer_that_is_greeted_during_a_stop_is_closed():
-    """A peer dials just before a planned stop and greets after it has begun."""
+async def test_link_that_is_opened_during_a_stop_is_closed():
+    """A peer connects just before a planned stop and sends its hello after it began.
+
+    A link that stayed open would block the stop indefinitely.
+    """
     server = LinkServer(echo, lambda: AGENT, CLOCK)
     endpoint = await server.start(LOOPBACK)
     socket = await connect(f"ws://{endpoint}/", compression=None, proxy=None)
@@ -109,12 +112,12 @@
     await asyncio.sleep(0)
     await socket.send(encode_batch([ENTRY]))
 
-    async def live() -> None:
+    async def answer_pings() -> None:
         async for frame in socket:
             pongs = [Pong(m.number) for m in decode_batch(frame)]
             await socket.send(encode_batch(pongs))
 
-    peer = asyncio.create_task(live())
+    peer = asyncio.create_task(answer_pings())
     async with asyncio.timeout(5.0):
         await stop
     await peer
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,4 @@
-"""An answer outlives its links: frames are kept, resumed, ordered, never doubled."""
+"""Answers continue over new links, with each frame delivered once and in order."""
 
 import pytest
 from hypothesis import given
@@ -19,7 +19,7 @@
     return AnswerEnd(REQUEST, 1, Sequence(number), Outcome.COMPLETED)
 
 
-def test_buffer_keeps_what_isnt_acknowledged():
+def test_buffer_holds_unacknowledged_frames():
     buffer = FrameBuffer()
     frames = [make_body(0), make_body(1), make_end(2)]
     for frame in frames:
@@ -33,7 +33,7 @@
     assert buffer.delivered
 
 
-def test_buffer_asks_its_source_to_pause():
+def test_buffer_is_full_at_its_limit():
     buffer = FrameBuffer(limit=10)
     buffer.append(make_body(0, size=10))
     assert buffer.full
@@ -41,14 +41,14 @@
     assert not buffer.full
 
 
-def test_buffer_refuses_a_gap():
-    with pytest.raises(ValueError, match="expected"):
+def test_buffer_rejects_a_gap():
+    with pytest.raises(ValueError, match="0 expected"):
         FrameBuffer().append(make_body(1))
 
 
 @given(st.lists(st.integers(0, 9), max_size=60), st.integers(1, 10))
-def test_frames_come_once_and_in_order(arrivals, count):
-    """Links duplicate, reorder and drop; what is delivered is a prefix, in order."""
+def test_frames_are_delivered_once_and_in_order(arrivals, count):
+    """Despite duplicated, reordered and lost frames, a prefix is delivered in order."""
     frames = [make_body(n) for n in range(count)]
     sequence = FrameSequence()
     delivered = []
@@ -62,17 +62,17 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 5)), max_size=30))
-def test_resume_over_lossy_links_brings_the_whole_answer(losses):
-    """Links break at any frame, in either direction, as often as they like."""
+def test_resume_over_lossy_links_delivers_the_complete_answer(losses):
+    """Links break at any frame, in either direction, any number of times."""
     frames = [make_body(n) for n in range(9)] + [make_end(9)]
     buffer, sequence = FrameBuffer(), FrameSequence()
     for frame in frames:
         buffer.append(frame)
     delivered = []
     for acknowledged, length in [*losses, (True, len(frames))]:
-        owed = buffer.list_from(sequence.next_sequence)
-        assert owed is not None
-        for frame in owed[:length]:
+        missing = buffer.list_from(sequence.next_sequence)
+        assert missing is not None
+        for frame in missing[:length]:
             delivered += sequence.accept(frame)
         if acknowledged:
             buffer.acknowledge(sequence.next_sequence)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Sockets to hosts that don't answer."""
+"""Connection attempts to hosts that do not answer."""
 
 import asyncio
 import contextlib
@@ -15,8 +15,8 @@
 
 
 @pytest.fixture
-def deaf():
-    """Return the endpoint of a host whose system drops every first packet."""
+def unreachable():
+    """Return the endpoint of a host whose kernel drops every SYN."""
     with contextlib.ExitStack() as stack:
         server = stack.enter_context(socket.socket())
         server.bind(("127.0.0.1", 0))
@@ -33,11 +33,14 @@
     await dial(endpoint, Hello(Role.ENTRY, HostId("g")), SystemClock())
 
 
-@pytest.mark.parametrize("open_one", [open_link, TargetConnection.open])
-async def test_a_host_without_power_is_given_up_before_its_system_is_asked_again(
-    deaf, open_one
+@pytest.mark.parametrize("open_connection", [open_link, TargetConnection.open])
+async def test_connect_to_a_host_without_power_fails_before_the_kernel_resends_its_syn(
+    unreachable, open_connection
 ):
-    """A host is back, and for a second nobody talks to it."""
+    """Repeated connection attempts reach a host that is back again sooner.
+
+    The kernel resends a lost SYN only after 1 s.
+    """
     async with asyncio.timeout(0.9):
         with pytest.raises(LinkLost):
-            await open_one(deaf)
+            await open_connection(unreachable)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Programs talk only to programs of their own authority."""
+"""Programs accept only peers with certificates of their own authority."""
 
 import ssl
 
@@ -42,7 +42,7 @@
     return {
         "own": write_files(folder / "own", own),
         "foreign": write_files(folder / "foreign", foreign),
-        # Trusts the right authority, but shows a stranger's certificate
+        # Trusts the right authority, but presents a certificate of another one
         "mixed": PeerTls(
             folder / "own" / "ca", write_files(folder / "x", foreign).pair
         ),
@@ -69,7 +69,7 @@
         await server.stop()
 
 
-async def test_link_crosses_mutual_tls(files, listen):
+async def test_link_over_mutual_tls(files, listen):
     endpoint = await listen("own")
     link = await dial(endpoint, ENTRY, CLOCK, tls=make_client_context(files["own"]))
     link.send(ReportInForce(HostId("e1"), 7))
@@ -85,29 +85,29 @@
         ("foreign", "own"),
         ("own", "foreign"),
         ("own", "mixed"),
-        # The right authority, but a certificate for another IP number
+        # The right authority, but a certificate for another IP address
         ("elsewhere", "own"),
     ],
 )
-async def test_stranger_is_refused(files, listen, server, client):
+async def test_untrusted_peer_is_rejected(files, listen, server, client):
     endpoint = await listen(server)
     with pytest.raises(LinkLost):
         await dial(endpoint, ENTRY, CLOCK, tls=make_client_context(files[client]))
 
 
-async def test_client_without_certificate_is_refused(files, listen):
+async def test_client_without_certificate_is_rejected(files, listen):
     endpoint = await listen("own")
     with pytest.raises(LinkLost):
         await dial(endpoint, ENTRY, CLOCK, tls=make_operator_context(files["own"].ca))
 
 
-async def test_plain_client_is_refused(listen):
+async def test_client_without_tls_is_rejected(listen):
     endpoint = await listen("own")
     with pytest.raises(LinkLost):
         await dial(endpoint, ENTRY, CLOCK)
 
 
-async def test_http_crosses_tls(files):
+async def test_http_over_tls(files):
     async def answer(exchange):
         await exchange.respond(200, (), exchange.request.body)
 
@@ -125,7 +125,7 @@
     await server.stop(grace=1.0)
 
 
-def test_wrong_files_name_the_remedy(files, tmp_path):
+def test_errors_for_invalid_files_name_the_remedy(files, tmp_path):
     own = files["own"]
     with pytest.raises(SettingsFault, match="its own key"):
         make_server_context(KeyPair(own.pair.certificate, files["foreign"].pair.key))
--- a/tests/test_tls_path.py
+++ b/tests/test_tls_path.py
@@ -1,4 +1,4 @@
-"""A call crosses control, agent and entry with TLS on every port of theirs."""
+"""A request passes entry host, agent and control replica, all ports using TLS."""
 
 import asyncio
 import json
@@ -165,7 +165,7 @@
 
 
 async def run_operator(*arguments):
-    # The command runs a loop of its own, so it needs a thread of its own
+    # The command runs its own event loop, so it needs a separate thread
     return await asyncio.to_thread(CliRunner().invoke, main, arguments)
 
 
@@ -178,11 +178,18 @@
     return answer, body
 
 
-async def test_call_crosses_tls(folder, control, entry):
+async def test_request_over_tls_is_completed(folder, control, entry):
     document = folder / "raktar.ini"
     document.write_text(DOCUMENT)
-    reach = ("--control", str(control.operators), "--ca", str(folder / "ca"))
-    submitted = await run_operator("submit", str(document), "--base", "0", *reach)
+    connection_options = (
+        "--control",
+        str(control.operators),
+        "--ca",
+        str(folder / "ca"),
+    )
+    submitted = await run_operator(
+        "submit", str(document), "--base", "0", *connection_options
+    )
     assert submitted.exit_code == 0, submitted.output
     tls = make_operator_context(folder / "ca")
     async with asyncio.timeout(30):
@@ -194,7 +201,7 @@
     assert dict(answer.headers)["x-ibishead-outcome"] == "completed"
 
 
-async def test_ports_refuse_clients_without_tls(control, agent, entry):
+async def test_ports_reject_clients_without_tls(control, agent, entry):
     for endpoint in (control.links, agent):
         with pytest.raises(LinkLost):
             await dial(endpoint, Hello(Role.ENTRY, "e9"), CLOCK)
@@ -203,8 +210,13 @@
             await call(endpoint, None)
 
 
-async def test_operator_refuses_a_foreign_authority(folder, control):
+async def test_operator_command_rejects_a_foreign_authority(folder, control):
     trustme.CA().cert_pem.write_to_path(folder / "other")
-    reach = ("--control", str(control.operators), "--ca", str(folder / "other"))
-    result = await run_operator("targets", "--timeout", "0.3", *reach)
+    connection_options = (
+        "--control",
+        str(control.operators),
+        "--ca",
+        str(folder / "other"),
+    )
+    result = await run_operator("targets", "--timeout", "0.3", *connection_options)
     assert result.exit_code == 4
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,4 +1,4 @@
-"""The HTTP shell serves, streams, and answers bad input with a code."""
+"""The HTTP server answers, streams, and rejects invalid input with an error code."""
 
 import asyncio
 import json
@@ -37,7 +37,7 @@
         case "/refuse":
             raise Refused("full", "come back later")
         case _:
-            raise ValueError("a fault of the program")
+            raise ValueError("internal error")
 
 
 @pytest.fixture
@@ -60,9 +60,9 @@
 async def test_answers(server, path, status, body):
     connection = await ClientConnection.open(server)
     for _ in range(2):
-        got = await connection.ask("POST", path, (), b"hello")
-        assert got.status == status
-        data = await got.read()
+        response = await connection.ask("POST", path, (), b"hello")
+        assert response.status == status
+        data = await response.read()
         if body is None:
             assert json.loads(data)["error"]["remedy"]
         else:
@@ -98,7 +98,7 @@
     ],
     ids=lambda value: value[:24].decode("latin-1") if len(value) > 3 else "",
 )
-async def test_bad_input_gets_its_status_and_is_closed(server, data, status):
+async def test_invalid_request_gets_an_error_answer_and_is_closed(server, data, status):
     received = await _send_raw(server, data)
     assert received.split(b" ", 2)[1] == status
     assert b"remedy" in received
@@ -115,33 +115,36 @@
     assert received.endswith(b"2")
 
 
-async def test_answer_cut_off_inside_is_not_taken_for_whole(server):
-    """A target dies in the middle of an answer without a length."""
+async def test_truncated_answer_has_no_final_chunk(server):
+    """A target fails in the middle of an answer without a content-length.
+
+    With a final chunk, the caller would take the truncated answer for complete.
+    """
     received = await _send_raw(server, b"GET /cut HTTP/1.1\r\nHost: x\r\n\r\n")
     assert b"half" in received
     assert not received.endswith(b"0\r\n\r\n")
 
 
-async def test_caller_that_leaves_is_noticed():
-    left = asyncio.Event()
+async def test_disconnect_of_the_caller_is_detected():
+    detected = asyncio.Event()
 
-    async def wait_for_leave(exchange: Exchange) -> None:
+    async def wait_for_disconnect(exchange: Exchange) -> None:
         await exchange.gone.wait()
-        left.set()
+        detected.set()
         await exchange.respond(200, ())
 
-    server = WebServer(wait_for_leave, SMALL)
+    server = WebServer(wait_for_disconnect, SMALL)
     endpoint = await server.start(LOOPBACK)
     _, writer = await asyncio.open_connection(endpoint.address, endpoint.port)
     writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     await writer.drain()
     writer.close()
-    await left.wait()
+    await detected.wait()
     await server.stop(grace=1.0)
 
 
 async def test_stop_finishes_answers_in_progress():
-    """A planned stop arrives while an answer is being made; it must come whole."""
+    """A planned stop that begins during a request must not truncate its answer."""
     started, proceed = asyncio.Event(), asyncio.Event()
 
     async def answer_slowly(exchange: Exchange) -> None:
@@ -152,19 +155,19 @@
     server = WebServer(answer_slowly, SMALL)
     endpoint = await server.start(LOOPBACK)
     connection = await ClientConnection.open(endpoint)
-    asking = asyncio.create_task(connection.ask("GET", "/"))
+    request = asyncio.create_task(connection.ask("GET", "/"))
     await started.wait()
     stopping = asyncio.create_task(server.stop(grace=5.0))
     await asyncio.sleep(0)
     proceed.set()
-    got = await asking
-    assert await got.read() == b"whole"
+    response = await request
+    assert await response.read() == b"whole"
     await stopping
 
 
 @pytest.mark.parametrize("accepted", [False, True])
 async def test_a_request_that_came_before_a_stop_is_answered(accepted):
-    """A planned stop cuts one call of hundreds: connected, sent, and then reset."""
+    """A planned stop must not reset a connection whose request was already sent."""
     server = WebServer(answer)
     endpoint = await server.start(LOOPBACK)
     with socket.create_connection((endpoint.address, endpoint.port)) as caller:
@@ -173,16 +176,16 @@
         caller.sendall(b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\nhi")
         stopping = asyncio.create_task(server.stop(grace=5.0))
         caller.setblocking(False)
-        got = b""
-        while not got.endswith(b"hi"):
+        response = b""
+        while not response.endswith(b"hi"):
             data = await asyncio.get_running_loop().sock_recv(caller, 1000)
-            assert data, got
-            got += data
-        assert b"connection: close" in got.lower()
+            assert data, response
+            response += data
+        assert b"connection: close" in response.lower()
         await stopping
 
 
-async def test_a_stop_doesn_t_wait_for_connections_without_a_request():
+async def test_a_stop_closes_idle_connections():
     server = WebServer(answer, Limits(idle_seconds=60.0))
     endpoint = await server.start(LOOPBACK)
     with socket.create_connection((endpoint.address, endpoint.port)):
@@ -193,8 +196,8 @@
             socket.create_connection((endpoint.address, endpoint.port))
 
 
-async def test_a_long_last_answer_reaches_a_slow_reader_whole():
-    """An operator reads the routes back and gets half of them."""
+async def test_a_long_last_answer_is_not_truncated_for_a_slow_reader():
+    """Closing a connection with unsent data in its buffer would truncate the answer."""
     body = b"x" * 60_000
 
     async def answer(exchange):
