--- a/src/ibishead/tls.py
+++ b/src/ibishead/tls.py
@@ -72,7 +72,7 @@
     except (OSError, ssl.SSLError) as error:
         raise SettingsFault(
             f"cannot load certificate {pair.certificate} with key {pair.key}: {error}",
-            "set a PEM certificate and its own key without a passphrase",
+            "name a certificate in PEM and its own key without a passphrase",
         ) from error
 
 
@@ -82,5 +82,5 @@
     except (OSError, ssl.SSLError) as error:
         raise SettingsFault(
             f"cannot load the authority's certificate {ca}: {error}",
-            "set a PEM file with the authority's certificate",
+            "name the authority's certificate in PEM",
         ) from error
--- a/src/ibishead/webclient.py
+++ b/src/ibishead/webclient.py
@@ -71,7 +71,7 @@
                 )
         except (OSError, TimeoutError) as error:
             raise LinkLost(
-                f"cannot connect to {endpoint}: {error or type(error).__name__}",
+                f"no connection to {endpoint}: {error or type(error).__name__}",
                 "check that the server is running",
             ) from error
         return cls(reader, writer, str(endpoint))
