--- a/benchmarks/bench_publish.py
+++ b/benchmarks/bench_publish.py
@@ -24,7 +24,7 @@
 from ibishead.links import Endpoint, Link, dial
 from ibishead.messages import Hello, Publish, ReportInForce, Role, Subscribe
 from ibishead.settings import ControlSettings, ListenSettings
-from ibishead.subscription import CONTROL_PACE, REPORT_INTERVAL
+from ibishead.subscription import CONTROL_HEARTBEAT, REPORT_INTERVAL
 from ibishead.webclient import ClientConnection
 
 SIZES = (10, 50, 200)
@@ -154,7 +154,7 @@
     holders = []
     for number in range(subscribers):
         hello = Hello(Role.ENTRY, HostId(f"e{number}"))
-        link = await dial(endpoints.links, hello, CLOCK, CONTROL_PACE)
+        link = await dial(endpoints.links, hello, CLOCK, CONTROL_HEARTBEAT)
         holders.append(StandIn(hello.host, link))
     await submit(connection, 0)
     before = sum(holder.bytes for holder in holders)
--- a/benchmarks/policy/clairvoyant.py
+++ b/benchmarks/policy/clairvoyant.py
@@ -79,7 +79,7 @@
             loading=frozenset(engine.loading),
             seconds_per_request=report.seconds_per_request,
             seconds_per_load=report.seconds_per_load,
-            wishes=report.wishes,
+            wishes=report.pending_loads,
             free_slots=report.free_slots,
             coldest=coldest,
             stalled=report.stalled,
--- a/benchmarks/policy/model.py
+++ b/benchmarks/policy/model.py
@@ -291,13 +291,13 @@
             tuple(self.loading),
             self.seconds_per_request,
             seconds_per_load=self.seconds_per_load,
-            wishes=sum(
+            pending_loads=sum(
                 1
                 for key in self.waiting
                 if key not in self.slots and key not in self.loading
             ),
             free_slots=SLOTS - len(self.slots) - len(self.loading) + unpinned,
-            coldest=0.0
+            coldest_uses=0.0
             if empty or victim is None
             else expect_reuse(victim, self.calendar.now),
             stalled=self.stalled(),
--- a/src/ibishead/agent/scheduler.py
+++ b/src/ibishead/agent/scheduler.py
@@ -191,9 +191,9 @@
             draining=self.draining,
             healthy=self.healthy,
             seconds_per_load=self._loader.seconds_per_load,
-            wishes=self._loader.count_wishes(),
+            pending_loads=self._loader.count_wishes(),
             free_slots=max(self._loader.count_room(), 0),
-            coldest=self._loader.find_coldest(),
+            coldest_uses=self._loader.find_coldest(),
             stalled=sum(not self._is_ready(attempt) for attempt in queued),
         )
 
--- a/src/ibishead/catalog.py
+++ b/src/ibishead/catalog.py
@@ -44,17 +44,17 @@
 
         :raises InvalidInput: this program's version cannot parse a document.
         """
-        if publish.whole:
+        if publish.full_state:
             self._remove_targets_missing_in(publish)
         for record in publish.documents:
-            self.offer(record)
-        for target, incarnation in publish.gone:
+            self.store_document(record)
+        for target, incarnation in publish.removed_targets:
             self._remove_target(target, incarnation)
         for target_record in publish.targets:
             self._store_target(target_record)
         self.index = max(self.index, publish.index)
 
-    def offer(self, record: DocumentRecord) -> bool:
+    def store_document(self, record: DocumentRecord) -> bool:
         """Store a document if it is newer than the stored one.
 
         :returns: whether it was stored.
@@ -105,11 +105,11 @@
         :param now: monotonic time in seconds; the lease expires no later than its
             length after ``now``.
         """
-        sent = self._report_times.get(publish.answers)
+        sent = self._report_times.get(publish.answered_report)
         if sent is None:
             return
         self._report_times = {
-            n: t for n, t in self._report_times.items() if n > publish.answers
+            n: t for n, t in self._report_times.items() if n > publish.answered_report
         }
         self._lease_expiry = max(self._lease_expiry, min(sent, now) + publish.lease)
 
--- a/src/ibishead/control/peering.py
+++ b/src/ibishead/control/peering.py
@@ -24,7 +24,7 @@
 )
 from ibishead.errors import ErrorCode, LinkLost
 from ibishead.ids import HostId, LogIndex, ReplicaId
-from ibishead.links import Endpoint, Link, Pace, dial
+from ibishead.links import Endpoint, HeartbeatTiming, Link, dial
 from ibishead.messages import Hello, PeerFrame
 
 __all__ = [
@@ -146,7 +146,7 @@
         hello: Hello,
         clock: Clock,
         tls: ssl.SSLContext | None = None,
-        pace: Pace | None = None,
+        pace: HeartbeatTiming | None = None,
     ) -> None:
         self._pace = pace
         self._hosts = dict(hosts)
@@ -243,7 +243,7 @@
             # a link to the host's next address may stand here already
             if self._links.get(host) is link:
                 del self._links[host]
-            link.end()
+            link.abort()
 
 
 class FrameReader:
--- a/src/ibishead/decisions/views.py
+++ b/src/ibishead/decisions/views.py
@@ -210,9 +210,9 @@
             reachable=view.reachable,
             draining=report.draining,
             seconds_per_load=report.seconds_per_load,
-            wishes=report.wishes + len(loading.difference(report.loading)),
+            wishes=report.pending_loads + len(loading.difference(report.loading)),
             free_slots=report.free_slots,
-            coldest=report.coldest,
+            coldest=report.coldest_uses,
             stalled=report.stalled + sum(adapter not in resident for adapter in own),
         )
         self._index.set_held(view.target, resident | loading)
--- a/src/ibishead/entry/agents.py
+++ b/src/ibishead/entry/agents.py
@@ -155,7 +155,7 @@
         self.record = record
         self._retired = False
         if moved and self._link is not None:
-            self._link.end()
+            self._link.abort()
 
     def dispatch(self, dispatch: Dispatch) -> AttemptChannel:
         """Send an attempt.
@@ -194,7 +194,7 @@
         if not channels:
             self._open.pop(name, None)
         if self._retired and self.idle and self._link is not None:
-            self._link.end()
+            self._link.abort()
 
     def retire(self) -> None:
         """Give this agent no new work; what is open goes on while it answers.
@@ -203,7 +203,7 @@
         """
         self._retired = True
         if self.idle and self._link is not None:
-            self._link.end()
+            self._link.abort()
 
     async def stop(self, reason: str) -> None:
         """End all attempts here and close the link."""
--- a/src/ibishead/entry/dispatching.py
+++ b/src/ibishead/entry/dispatching.py
@@ -298,7 +298,7 @@
         self._note(job, "gate", refusal.code.value, refusal.reason)
         refreshed = False
         if refusal.document is not None:
-            refreshed = self._catalog.offer(refusal.document)
+            refreshed = self._catalog.store_document(refusal.document)
         return Ended(
             Outcome.NOT_RUN,
             refusal.code,
--- a/src/ibishead/entry/pipeline.py
+++ b/src/ibishead/entry/pipeline.py
@@ -137,7 +137,7 @@
         self._placer.begin(job.resolved)
         taken = job.resolved
         task = asyncio.create_task(self._answer(runner(job), job))
-        leaving = asyncio.create_task(exchange.gone.wait())
+        leaving = asyncio.create_task(exchange.disconnected.wait())
         try:
             await asyncio.wait({task, leaving}, return_when=asyncio.FIRST_COMPLETED)
             # A non-idempotent request isn't called back: its outcome is recorded
--- a/src/ibishead/gateway/connection.py
+++ b/src/ibishead/gateway/connection.py
@@ -12,7 +12,7 @@
 from ibishead.errors import InvalidInput, LinkLost
 from ibishead.headers import Headers
 from ibishead.links import Endpoint
-from ibishead.sockets import connect_socket, reset_on_close, watch_socket
+from ibishead.sockets import connect_socket, enable_keepalive, reset_on_close
 
 __all__ = ["TargetConnection"]
 
@@ -61,7 +61,7 @@
         """Keep the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        watch_socket(transport)
+        enable_keepalive(transport)
 
     def data_received(self, data: bytes) -> None:
         """Take bytes in; those that nobody asked for end the connection."""
--- a/src/ibishead/gateway/pipeline.py
+++ b/src/ibishead/gateway/pipeline.py
@@ -190,7 +190,7 @@
 
     async def _run(self, request: RequestState, exchange: Exchange) -> None:
         work = asyncio.create_task(self._answer(request))
-        gone = asyncio.create_task(exchange.gone.wait())
+        gone = asyncio.create_task(exchange.disconnected.wait())
         wait = max(0.0, request.deadline - self._clock.monotonic())
         try:
             await asyncio.wait(
--- a/src/ibishead/gateway/stewards.py
+++ b/src/ibishead/gateway/stewards.py
@@ -246,10 +246,10 @@
         finally:
             if self._links.get(address) is link:
                 del self._links[address]
-                if link.silenced:
+                if link.timed_out:
                     self._silenced.add(address)
             self._forget_asked(address)
-            link.end()
+            link.abort()
             logger.info("steward lost", extra={"peer": link.peer.host})
 
     def _take(self, message: Message) -> None:
--- a/src/ibishead/links.py
+++ b/src/ibishead/links.py
@@ -29,7 +29,7 @@
 )
 from ibishead.sockets import connect_socket
 
-__all__ = ["Dialer", "Endpoint", "Link", "LinkServer", "Pace", "dial"]
+__all__ = ["Dialer", "Endpoint", "HeartbeatTiming", "Link", "LinkServer", "dial"]
 
 logger = logging.getLogger(__name__)
 
@@ -67,17 +67,17 @@
 
 
 @dataclass(frozen=True)
-class Pace:
+class HeartbeatTiming:
     """Heartbeat settings of one end of a link.
 
     :param interval: seconds between heartbeats.
-    :param silence: seconds without a message after which the link is closed.
+    :param timeout: seconds without a message after which the link is closed.
     :param mutual: both ends send heartbeats at this interval, so that pings need no
         pong; that halves the messages on an idle link.
     """
 
     interval: float = HEARTBEAT_INTERVAL
-    silence: float = SILENCE_LIMIT
+    timeout: float = SILENCE_LIMIT
     mutual: bool = False
 
 
@@ -85,10 +85,10 @@
     """An open connection to a peer program.
 
     :param peer: hello that the peer has sent.
-    :param pace: heartbeat settings of this end.
+    :param heartbeat: heartbeat settings of this end.
     :ivar sent_bytes: bytes of all frames sent.
     :ivar received_bytes: bytes of all frames received.
-    :ivar silenced: whether the link was closed because the peer sent nothing.
+    :ivar timed_out: whether the link was closed because the peer sent nothing.
     """
 
     def __init__(
@@ -96,16 +96,18 @@
         socket: ClientConnection | ServerConnection,
         peer: Hello,
         clock: Clock,
-        pace: Pace,
+        heartbeat: HeartbeatTiming,
     ) -> None:
         self.peer = peer
         self.sent_bytes = 0
         self.received_bytes = 0
-        self.silenced = False
+        self.timed_out = False
         self._socket = socket
         self._clock = clock
-        self._pace = pace
-        self._monitor = LinkMonitor(clock.monotonic(), pace.interval, pace.silence)
+        self._heartbeat = heartbeat
+        self._monitor = LinkMonitor(
+            clock.monotonic(), heartbeat.interval, heartbeat.timeout
+        )
         self._outbox: list[Message] = []
         self._backlog = asyncio.Event()
         self._closed = asyncio.Event()
@@ -135,7 +137,7 @@
             return
         self._outbox.append(message)
         self._backlog.set()
-        if self._pace.mutual:
+        if self._heartbeat.mutual:
             self._monitor.note_sent(self._clock.monotonic())
 
     async def receive(self) -> AsyncIterator[Message]:
@@ -146,9 +148,9 @@
                     frame = frame.encode()
                 self.received_bytes += len(frame)
                 for message in decode_batch(frame):
-                    self._monitor.hear(self._clock.monotonic())
+                    self._monitor.note_received(self._clock.monotonic())
                     if isinstance(message, Ping):
-                        if not self._pace.mutual:
+                        if not self._heartbeat.mutual:
                             self.send(Pong(message.number))
                     elif not isinstance(message, Pong):
                         yield message
@@ -167,7 +169,7 @@
         while self._outbox and not self.closed:
             await asyncio.sleep(0)
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Close the link at once and drop the queued messages; `receive` then ends."""
         self._abort()
 
@@ -206,7 +208,7 @@
                         "link closed: no message from the peer within the time-out",
                         extra={"peer": self.peer.host},
                     )
-                    self.silenced = True
+                    self.timed_out = True
                     self._abort()
                     return
                 case LinkAction.PING:
@@ -240,12 +242,12 @@
     endpoint: Endpoint,
     hello: Hello,
     clock: Clock,
-    pace: Pace | None = None,
+    heartbeat: HeartbeatTiming | None = None,
     tls: ssl.SSLContext | None = None,
 ) -> Link:
     """Connect to a peer and exchange hellos with it.
 
-    :param pace: heartbeat settings, the defaults if not given.
+    :param heartbeat: heartbeat settings, the defaults if not given.
     :raises LinkLost: the peer cannot be reached or sends no hello in time.
     """
     scheme = "ws" if tls is None else "wss"
@@ -262,7 +264,9 @@
                 ping_interval=None,
                 close_timeout=CLOSE_TIMEOUT,
             )
-            return await _exchange_hello(socket, hello, clock, pace or Pace())
+            return await _exchange_hello(
+                socket, hello, clock, heartbeat or HeartbeatTiming()
+            )
     except (OSError, TimeoutError, WebSocketException, IbisheadError) as error:
         raise LinkLost(
             f"cannot open a link to {endpoint}: {error or type(error).__name__}",
@@ -272,7 +276,8 @@
 
 #: Type of `dial`; tests pass a function that connects to a simulated network.
 Dialer: TypeAlias = Callable[
-    [Endpoint, Hello, Clock, Pace | None, ssl.SSLContext | None], Awaitable[Link]
+    [Endpoint, Hello, Clock, HeartbeatTiming | None, ssl.SSLContext | None],
+    Awaitable[Link],
 ]
 
 
@@ -281,7 +286,7 @@
 
     :param handler: called with each new link, which is closed when it returns.
     :param greet: returns the hello to send to a new peer.
-    :param pace: heartbeat settings, the defaults if not given.
+    :param heartbeat: heartbeat settings, the defaults if not given.
     :ivar links: links whose handler is running.
     """
 
@@ -290,13 +295,13 @@
         handler: Callable[[Link], Awaitable[None]],
         greet: Callable[[], Hello],
         clock: Clock,
-        pace: Pace | None = None,
+        heartbeat: HeartbeatTiming | None = None,
         tls: ssl.SSLContext | None = None,
     ) -> None:
         self._handler = handler
         self._greet = greet
         self._clock = clock
-        self._pace = pace or Pace()
+        self._heartbeat = heartbeat or HeartbeatTiming()
         self._tls = tls
         self._server: Server | None = None
         self._stopping = False
@@ -336,7 +341,7 @@
         try:
             async with asyncio.timeout(OPEN_TIMEOUT):
                 link = await _exchange_hello(
-                    socket, self._greet(), self._clock, self._pace
+                    socket, self._greet(), self._clock, self._heartbeat
                 )
         except (TimeoutError, WebSocketException, IbisheadError) as error:
             logger.warning(
@@ -359,13 +364,16 @@
 
 
 async def _exchange_hello(
-    socket: ClientConnection | ServerConnection, hello: Hello, clock: Clock, pace: Pace
+    socket: ClientConnection | ServerConnection,
+    hello: Hello,
+    clock: Clock,
+    heartbeat: HeartbeatTiming,
 ) -> Link:
     await socket.send(encode_batch([hello]))
     frame = await socket.recv(decode=False)
     match decode_batch(frame):
         case [Hello() as peer]:
-            return Link(socket, peer, clock, pace)
+            return Link(socket, peer, clock, heartbeat)
     raise LinkLost(
         "the peer sent no hello",
         "check that an ibishead program listens at this address",
--- a/src/ibishead/messages.py
+++ b/src/ibishead/messages.py
@@ -290,11 +290,11 @@
     :param healthy: whether the target itself answers.
     :param seconds_per_load: measured mean time from the request for an adapter until
         it is resident.
-    :param wishes: number of adapters that requests wait for and whose load has not
-        begun.
+    :param pending_loads: number of adapters that requests wait for and whose load has
+        not begun.
     :param free_slots: slots that are empty or can be evicted now.
-    :param coldest: decayed use count of the next adapter to be evicted, 0 if a slot is
-        empty.
+    :param coldest_uses: decayed use count of the next adapter to be evicted, 0 if a
+        slot is empty.
     :param stalled: queued requests that wait for their adapter.
     """
 
@@ -309,9 +309,9 @@
     draining: bool = False
     healthy: bool = True
     seconds_per_load: float = 0.25
-    wishes: int = 0
+    pending_loads: int = 0
     free_slots: int = 1
-    coldest: float = 0.0
+    coldest_uses: float = 0.0
     stalled: int = 0
 
 
@@ -398,11 +398,12 @@
     :param index: log index of the subscriber once it has applied this message.
     :param lease: seconds for which the subscriber may act on its documents; 0 from a
         replica that has no lease of its own.
-    :param gone: removed targets, each with the incarnation that has ended.
-    :param whole: whether the message holds the full state, which replaces that of the
-        subscriber; a document of a lower revision is ignored even then.
-    :param answers: number of the `ReportInForce` that this answers, 0 for none. The
-        lease is counted from the time that report was sent, so that a delay in
+    :param removed_targets: targets that were removed, each with the incarnation that
+        has ended.
+    :param full_state: whether the message holds the full state, which replaces that of
+        the subscriber; a document of a lower revision is ignored even then.
+    :param answered_report: number of the `ReportInForce` that this answers, 0 for none.
+        The lease is counted from the time that report was sent, so that a delay in
         transit can only shorten it.
     """
 
@@ -410,9 +411,9 @@
     lease: float
     documents: tuple[DocumentRecord, ...] = ()
     targets: tuple[TargetRecord, ...] = ()
-    gone: tuple[tuple[TargetId, Incarnation], ...] = ()
-    whole: bool = False
-    answers: int = 0
+    removed_targets: tuple[tuple[TargetId, Incarnation], ...] = ()
+    full_state: bool = False
+    answered_report: int = 0
 
 
 class ReportInForce(_Message, frozen=True):
--- a/src/ibishead/routing/feed.py
+++ b/src/ibishead/routing/feed.py
@@ -13,7 +13,7 @@
 from ibishead.clock import Clock
 from ibishead.errors import IbisheadError, LinkLost
 from ibishead.ids import HostId, ServiceName
-from ibishead.links import Dialer, Endpoint, Link, Pace, dial
+from ibishead.links import Dialer, Endpoint, HeartbeatTiming, Link, dial
 from ibishead.messages import Hello, Message, Role
 from ibishead.routing.changes import RouteChange, apply_change, unpack
 from ibishead.routing.messages import (
@@ -38,7 +38,7 @@
 
 #: Heartbeats of a link to a registry. A link that has gone silent must be replaced
 #: soon: what is in force elsewhere isn't known over it.
-FEED_PACE = Pace(interval=0.9, silence=2.4, mutual=True)
+FEED_PACE = HeartbeatTiming(interval=0.9, timeout=2.4, mutual=True)
 
 #: Seconds between two tries to reach a registry, at first and at most.
 REDIAL_FIRST = 0.1
@@ -210,7 +210,7 @@
         finally:
             del self.links[endpoint]
             self._noticed.pop(endpoint, None)
-            link.end()
+            link.abort()
             logger.info("registry lost", extra={"peer": link.peer.host})
 
     def _take(self, endpoint: Endpoint, link: Link, message: Message) -> None:
--- a/src/ibishead/session.py
+++ b/src/ibishead/session.py
@@ -50,22 +50,22 @@
 
     :param now: current monotonic time in seconds.
     :param interval: seconds between heartbeats.
-    :param silence: seconds without a message after which the link has to be closed.
+    :param timeout: seconds without a message after which the link has to be closed.
     """
 
     def __init__(
         self,
         now: float,
         interval: float = HEARTBEAT_INTERVAL,
-        silence: float = SILENCE_LIMIT,
+        timeout: float = SILENCE_LIMIT,
     ) -> None:
         self.interval = interval
-        self._silence = silence
+        self._timeout = timeout
         self._last_received = now
         self._last_tick = now
         self._last_heartbeat = now - interval
 
-    def hear(self, now: float) -> None:
+    def note_received(self, now: float) -> None:
         """Record that a message from the peer has arrived."""
         self._last_received = now
 
@@ -87,11 +87,11 @@
         peer's messages may then wait unread in the socket, so its silence is counted
         from now.
         """
-        suspended = now - self._last_tick > self._silence / 2
+        suspended = now - self._last_tick > self._timeout / 2
         self._last_tick = now
         if suspended:
             self._last_received = now
-        if now - self._last_received >= self._silence:
+        if now - self._last_received >= self._timeout:
             return LinkAction.GIVE_UP
         if now - self._last_heartbeat >= self.interval:
             self._last_heartbeat = now
--- a/src/ibishead/sockets.py
+++ b/src/ibishead/sockets.py
@@ -4,7 +4,7 @@
 import socket
 import struct
 
-__all__ = ["connect_socket", "reset_on_close", "watch_socket"]
+__all__ = ["connect_socket", "enable_keepalive", "reset_on_close"]
 
 #: Seconds for the TCP handshake. The kernel resends a lost SYN only after 1 s, while a
 #: new connection attempt sends one at once, so a host that has come back is reached
@@ -56,7 +56,7 @@
         connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
 
-def watch_socket(transport: asyncio.BaseTransport) -> None:
+def enable_keepalive(transport: asyncio.BaseTransport) -> None:
     """Make the kernel detect a network path that has broken without a reset."""
     connected = transport.get_extra_info("socket")
     if connected is None:
--- a/src/ibishead/standin/engine_server.py
+++ b/src/ibishead/standin/engine_server.py
@@ -217,7 +217,7 @@
     async def _cancel_when_gone(
         self, exchange: Exchange, generation: Generation
     ) -> None:
-        await exchange.gone.wait()
+        await exchange.disconnected.wait()
         self._cancel(generation)
 
     def _cancel(self, generation: Generation) -> None:
--- a/src/ibishead/startup.py
+++ b/src/ibishead/startup.py
@@ -15,7 +15,7 @@
 from ibishead.logs import set_up_logging
 from ibishead.process import EXIT_SETTINGS, run_program
 from ibishead.settingsfile import KeyPair, LogLevel, PeerTls
-from ibishead.tls import check_files
+from ibishead.tls import check_tls_files
 
 __all__ = ["ProgramSettings", "make_command"]
 
@@ -65,7 +65,7 @@
     def command(settings_file: Path, check_settings: bool) -> None:
         try:
             settings = load(settings_file)
-            check_files(settings.peer_tls, settings.http_tls)
+            check_tls_files(settings.peer_tls, settings.http_tls)
         except SettingsFault as fault:
             click.echo(f"error: {fault.message}\nremedy: {fault.remedy}", err=True)
             sys.exit(EXIT_SETTINGS)
--- a/src/ibishead/subscription.py
+++ b/src/ibishead/subscription.py
@@ -19,7 +19,7 @@
 from ibishead.clock import Clock
 from ibishead.errors import ErrorCode, IbisheadError, LinkLost, NotFound, Unavailable
 from ibishead.ids import ServiceName
-from ibishead.links import Dialer, Endpoint, Link, Pace, dial
+from ibishead.links import Dialer, Endpoint, HeartbeatTiming, Link, dial
 from ibishead.messages import (
     AskClaim,
     AskPermit,
@@ -56,7 +56,7 @@
 _NO_CLAIM_CODES = (ErrorCode.STALE_INCARNATION, ErrorCode.UNKNOWN_TARGET)
 
 #: Heartbeat settings of links to control replicas.
-CONTROL_PACE = Pace(interval=1.0, silence=2.5)
+CONTROL_HEARTBEAT = HeartbeatTiming(interval=1.0, timeout=2.5)
 
 
 class Subscription:
@@ -218,7 +218,7 @@
 
     async def _receive_from(self, endpoint: Endpoint) -> None:
         link = await self._dial(
-            endpoint, self._hello(), self._clock, CONTROL_PACE, self._tls
+            endpoint, self._hello(), self._clock, CONTROL_HEARTBEAT, self._tls
         )
         self._link = link
         reporter = asyncio.create_task(self._report_periodically(link))
--- a/src/ibishead/tls.py
+++ b/src/ibishead/tls.py
@@ -11,7 +11,7 @@
 from ibishead.settingsfile import KeyPair, PeerTls
 
 __all__ = [
-    "check_files",
+    "check_tls_files",
     "make_client_context",
     "make_operator_context",
     "make_server_context",
@@ -54,7 +54,7 @@
     return context
 
 
-def check_files(peer: PeerTls | None, http: KeyPair | None) -> None:
+def check_tls_files(peer: PeerTls | None, http: KeyPair | None) -> None:
     """Load every file once, so that an invalid file is reported at start.
 
     :raises SettingsFault: a file cannot be read or holds no valid certificate or key.
--- a/src/ibishead/web.py
+++ b/src/ibishead/web.py
@@ -117,14 +117,14 @@
 class Exchange:
     """A request and the answer that is being written to it.
 
-    :ivar gone: set once the caller has closed its side of the connection.
+    :ivar disconnected: set once the caller has closed its side of the connection.
     :ivar started: whether status and headers were sent.
     :ivar finished: whether the answer is complete.
     """
 
     def __init__(self, request: WebRequest, connection: "_ServerConnection") -> None:
         self.request = request
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
         self.started = False
         self.finished = False
         self._connection = connection
@@ -487,7 +487,7 @@
         if data:
             self._state.receive_data(data)
         else:
-            exchange.gone.set()
+            exchange.disconnected.set()
             self._state.receive_data(b"")
 
     async def _refuse(self, error: IbisheadError) -> None:
--- a/tests/control/test_publish.py
+++ b/tests/control/test_publish.py
@@ -92,9 +92,9 @@
     scene = Scene()
     subscriber = scene.subscribe("e1")
     scene.report(subscriber, 0, 7)
-    assert scene.sent[-1].answers == 7
+    assert scene.sent[-1].answered_report == 7
     scene.submit(0)
-    assert scene.sent[-1].answers == 7
+    assert scene.sent[-1].answered_report == 7
     catalog = Catalog()
     catalog.note_report(7, 100.0)
     catalog.renew(scene.sent[-1], 110.0)
@@ -149,12 +149,12 @@
     for base in range(3):
         scene.submit(base)
     scene.subscribe("e1", index=2)
-    assert not scene.sent[-1].whole
+    assert not scene.sent[-1].full_state
     assert [d.revision for d in scene.sent[-1].documents] == [3]
     scene.log.restart()
     scene.publisher = Publisher(scene.log.state, lambda: 1.0, scene.clock)
     scene.subscribe("e1", index=2)
-    assert scene.sent[-1].whole
+    assert scene.sent[-1].full_state
     scene.subscribe("e1", index=3)
-    assert not scene.sent[-1].whole
+    assert not scene.sent[-1].full_state
     assert scene.sent[-1].documents == ()
--- a/tests/entry/test_attempts.py
+++ b/tests/entry/test_attempts.py
@@ -58,7 +58,7 @@
 
 def make_job():
     catalog = Catalog()
-    catalog.offer(DocumentRecord("mester", "halo", 1, DOCUMENT))
+    catalog.store_document(DocumentRecord("mester", "halo", 1, DOCUMENT))
     request = WebRequest("GET", "/services/mester/plan", "", ())
     resolved = resolve(parse_call(request), catalog)
     relay = SimpleNamespace(delivered=False, reset=lambda: None, resolved=resolved)
--- a/tests/entry/test_protection.py
+++ b/tests/entry/test_protection.py
@@ -32,7 +32,7 @@
 
 def resolve_call(text, method, path, headers=()):
     catalog = Catalog()
-    catalog.offer(DocumentRecord("raktar", "halo", 1, text))
+    catalog.store_document(DocumentRecord("raktar", "halo", 1, text))
     request = WebRequest(method, f"/services/raktar{path}", "", headers)
     return resolve(parse_call(request), catalog)
 
--- a/tests/entry/test_refusals.py
+++ b/tests/entry/test_refusals.py
@@ -41,7 +41,7 @@
 
     def __init__(self):
         self.catalog = Catalog()
-        self.catalog.offer(DocumentRecord("mester", "halo", 1, DOCUMENT))
+        self.catalog.store_document(DocumentRecord("mester", "halo", 1, DOCUMENT))
 
     def is_current(self):
         return True
--- a/tests/entry/test_unconfirmed.py
+++ b/tests/entry/test_unconfirmed.py
@@ -31,7 +31,7 @@
 
 def resolve_call(service, headers, current):
     catalog = Catalog()
-    catalog.offer(DocumentRecord("raktar", "halo", 1, DOCUMENT))
+    catalog.store_document(DocumentRecord("raktar", "halo", 1, DOCUMENT))
     request = WebRequest("GET", f"/services/{service}/stock", "", headers)
     return resolve_confirmed(parse_call(request), catalog, current)
 
--- a/tests/gateway/test_pipeline.py
+++ b/tests/gateway/test_pipeline.py
@@ -78,7 +78,7 @@
 
 
 async def be_silent(exchange: Exchange, request: str) -> None:
-    await exchange.gone.wait()
+    await exchange.disconnected.wait()
 
 
 async def stream_well(exchange: Exchange, request: str) -> None:
@@ -92,7 +92,7 @@
 
 async def stream_then_stall(exchange: Exchange, request: str) -> None:
     await _stream(exchange, request, 2, b"id: 3\nda")
-    await exchange.gone.wait()
+    await exchange.disconnected.wait()
 
 
 async def _stream(
--- a/tests/gateway/test_stewards.py
+++ b/tests/gateway/test_stewards.py
@@ -40,7 +40,7 @@
     def __init__(self, answers) -> None:
         self.peer = Hello(Role.AGENT, HostId("side"))
         self.closed = False
-        self.silenced = False
+        self.timed_out = False
         self.sent: list = []
         self.inbox: asyncio.Queue = asyncio.Queue()
         self._answers = answers
@@ -55,7 +55,7 @@
         while (message := await self.inbox.get()) is not None:
             yield message
 
-    def end(self) -> None:
+    def abort(self) -> None:
         self.closed = True
 
 
@@ -163,7 +163,7 @@
     """Guards against prompts for a host that has stood still for seconds."""
     async with Setting(lambda n: []) as setting:
         setting.refusal = refusal
-        setting.link.silenced = silenced
+        setting.link.timed_out = silenced
         setting.link.inbox.put_nowait(None)
         await asyncio.sleep(0.3)
         assert setting.links.is_mute(ADDRESS) is mute
--- a/tests/operator/test_client.py
+++ b/tests/operator/test_client.py
@@ -17,7 +17,7 @@
 
 
 async def stay_silent(exchange):
-    await exchange.gone.wait()
+    await exchange.disconnected.wait()
 
 
 async def answer(exchange):
--- a/tests/proofs/network.py
+++ b/tests/proofs/network.py
@@ -6,7 +6,7 @@
 
 from ibishead.errors import LinkLost
 from ibishead.ids import HostId
-from ibishead.links import Endpoint, Pace
+from ibishead.links import Endpoint, HeartbeatTiming
 from ibishead.messages import Hello, Message, Ping, Pong
 from ibishead.session import LinkAction, LinkMonitor
 
@@ -19,7 +19,7 @@
 class FakeLink:
     """One end of a link; it keeps order, as TCP does, and loses all or nothing."""
 
-    def __init__(self, own: HostId, peer: Hello, pace: Pace) -> None:
+    def __init__(self, own: HostId, peer: Hello, pace: HeartbeatTiming) -> None:
         self.own = own
         self.peer = peer
         self.other: FakeLink | None = None
@@ -29,7 +29,7 @@
         self._arrival = 0.0
         self._inbox: asyncio.Queue[Message | None] = asyncio.Queue()
         self._closed = asyncio.Event()
-        self._monitor = LinkMonitor(self._loop.time(), pace.interval, pace.silence)
+        self._monitor = LinkMonitor(self._loop.time(), pace.interval, pace.timeout)
         self._watch = asyncio.create_task(self._watch_silence())
 
     @property
@@ -42,7 +42,7 @@
 
     async def receive(self):
         while (message := await self._inbox.get()) is not None:
-            self._monitor.hear(self._loop.time())
+            self._monitor.note_received(self._loop.time())
             if isinstance(message, Ping):
                 self.send(Pong(message.number))
             elif not isinstance(message, Pong):
@@ -52,9 +52,9 @@
 
     async def close(self) -> None:
         await asyncio.sleep(0)
-        self.end()
+        self.abort()
 
-    def end(self) -> None:
+    def abort(self) -> None:
         if self.closed:
             return
         self._closed.set()
@@ -73,7 +73,7 @@
         if self.silent or self.closed:
             return
         if message is None:
-            self.end()
+            self.abort()
         else:
             self._inbox.put_nowait(message)
 
@@ -82,7 +82,7 @@
             await asyncio.sleep(self._monitor.interval / 4)
             match self._monitor.tick(self._loop.time()):
                 case LinkAction.GIVE_UP:
-                    self.end()
+                    self.abort()
                     return
                 case LinkAction.PING:
                     self.send(Ping(0))
@@ -121,7 +121,7 @@
         if frozenset((hello.host, listener.host)) in self._cut:
             await asyncio.sleep(DIAL_TIMEOUT)
             raise LinkLost("timed out", "none")
-        pace = pace or Pace()
+        pace = pace or HeartbeatTiming()
         near = FakeLink(hello.host, listener.greet(), pace)
         far = FakeLink(listener.host, hello, pace)
         near.other, far.other = far, near
@@ -163,10 +163,10 @@
         """Break all links of a host that has died."""
         for link in self._links:
             if link.own == host:
-                link.end()
+                link.abort()
 
     async def _serve(self, listener: _Listener, link: FakeLink) -> None:
         try:
             await listener.serve(link)
         finally:
-            link.end()
+            link.abort()
--- a/tests/proofs/test_claims.py
+++ b/tests/proofs/test_claims.py
@@ -58,7 +58,7 @@
 
     def _lose_dispatch(self, link: FakeLink, message: Message) -> bool:
         if isinstance(message, Dispatch):
-            link.end()
+            link.abort()
         return True
 
     def _take_answer(self, link: FakeLink, message: Message) -> bool:
@@ -85,7 +85,7 @@
 
     def _break_links(self) -> None:
         for link in self._list_links():
-            link.end()
+            link.abort()
 
     def _list_links(self) -> list[FakeLink]:
         return [
--- a/tests/proofs/world.py
+++ b/tests/proofs/world.py
@@ -266,7 +266,7 @@
     def leave(self, call: Call) -> None:
         """Let a caller hang up."""
         call.left = True
-        call.exchange.gone.set()
+        call.exchange.disconnected.set()
 
     async def settle(self, seconds: float = 60.0) -> None:
         """Return once every call has been answered."""
--- a/tests/routing/test_feed.py
+++ b/tests/routing/test_feed.py
@@ -46,7 +46,7 @@
     def send(self, message):
         self.sent.append(message)
 
-    def end(self):
+    def abort(self):
         pass
 
     def tell(self, message):
--- a/tests/test_bad_links.py
+++ b/tests/test_bad_links.py
@@ -13,14 +13,14 @@
 from ibishead.clock import SystemClock
 from ibishead.codec import MAX_FRAME, encode, encode_batch
 from ibishead.ids import HostId
-from ibishead.links import Endpoint, LinkServer, Pace, _abort_transport, dial
+from ibishead.links import Endpoint, HeartbeatTiming, LinkServer, _abort_transport, dial
 from ibishead.messages import AnswerBody, Hello, ReportInForce, Role
 
 LOOPBACK = Endpoint("127.0.0.1", 0)
 ENTRY = Hello(Role.ENTRY, HostId("e1"))
 AGENT = Hello(Role.AGENT, HostId("a1"))
 CLOCK = SystemClock()
-NO_HEARTBEAT = Pace(1000.0, 1000.0)
+NO_HEARTBEAT = HeartbeatTiming(1000.0, 1000.0)
 UPGRADE = (
     "HTTP/1.1 101 Switching Protocols\r\nupgrade: websocket\r\n"
     "connection: upgrade\r\nsec-websocket-accept: {}\r\n\r\n"
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -58,7 +58,7 @@
     catalog = Catalog()
     highest = 0
     for revision, whole, index in publishes:
-        catalog.apply(Publish(index, 3.0, (make_document(revision),), whole=whole))
+        catalog.apply(Publish(index, 3.0, (make_document(revision),), full_state=whole))
         highest = max(highest, revision)
         held = catalog.find_document(SERVICE)
         assert held is not None
@@ -79,26 +79,29 @@
         (
             [
                 Publish(1, 0, targets=(make_target(1),)),
-                Publish(2, 0, gone=((TargetId("t1"), Incarnation(1)),)),
+                Publish(2, 0, removed_targets=((TargetId("t1"), Incarnation(1)),)),
             ],
             None,
         ),
         (
             [
                 Publish(1, 0, targets=(make_target(2),)),
-                Publish(2, 0, gone=((TargetId("t1"), Incarnation(1)),)),
+                Publish(2, 0, removed_targets=((TargetId("t1"), Incarnation(1)),)),
             ],
             2,
         ),
         (
             [
-                Publish(2, 0, gone=((TargetId("t1"), Incarnation(1)),)),
+                Publish(2, 0, removed_targets=((TargetId("t1"), Incarnation(1)),)),
                 Publish(1, 0, targets=(make_target(1),)),
             ],
             None,
         ),
-        ([Publish(1, 0, targets=(make_target(1),)), Publish(2, 0, whole=True)], None),
-        ([Publish(2, 0, targets=(make_target(1),)), Publish(1, 0, whole=True)], 1),
+        (
+            [Publish(1, 0, targets=(make_target(1),)), Publish(2, 0, full_state=True)],
+            None,
+        ),
+        ([Publish(2, 0, targets=(make_target(1),)), Publish(1, 0, full_state=True)], 1),
     ],
 )
 def test_incarnation_of_a_target_never_goes_down(publishes, expected):
@@ -122,11 +125,11 @@
     """An answer that is delayed for seconds in transit must not extend the lease."""
     catalog = Catalog()
     catalog.note_report(1, sent)
-    catalog.renew(Publish(1, lease, answers=1), answered)
+    catalog.renew(Publish(1, lease, answered_report=1), answered)
     assert catalog.is_current(asked) is current
 
 
 def test_lease_without_a_report_is_ignored():
     catalog = Catalog()
-    catalog.renew(Publish(1, 3.0, answers=7), 0.0)
+    catalog.renew(Publish(1, 3.0, answered_report=7), 0.0)
     assert not catalog.is_current(0.1)
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -40,7 +40,7 @@
     ),
     messages.AnswerBody(RequestId("r1"), 1, Sequence(1), b"\x00\xff"),
     messages.NotRun(RequestId("r1"), 1, ErrorCode.STALE_REVISION, "old", 0.5, DOCUMENT),
-    messages.Publish(7, 3.0, (DOCUMENT,), whole=True),
+    messages.Publish(7, 3.0, (DOCUMENT,), full_state=True),
 ]
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,7 +9,7 @@
 from ibishead.codec import decode_batch, encode_batch
 from ibishead.errors import LinkLost
 from ibishead.ids import HostId
-from ibishead.links import Endpoint, Link, LinkServer, Pace, dial
+from ibishead.links import Endpoint, HeartbeatTiming, Link, LinkServer, dial
 from ibishead.messages import Hello, Pong, ReportInForce, Role
 from ibishead.session import LinkAction, LinkMonitor
 
@@ -59,10 +59,10 @@
     async def stay_silent(link: Link) -> None:
         await released.wait()
 
-    pace = Pace(interval=0.02, silence=0.1)
-    server = LinkServer(stay_silent, lambda: AGENT, CLOCK, Pace(60, 60))
+    heartbeat = HeartbeatTiming(interval=0.02, timeout=0.1)
+    server = LinkServer(stay_silent, lambda: AGENT, CLOCK, HeartbeatTiming(60, 60))
     endpoint = await server.start(LOOPBACK)
-    link = await dial(endpoint, ENTRY, CLOCK, pace)
+    link = await dial(endpoint, ENTRY, CLOCK, heartbeat)
     assert [message async for message in link.receive()] == []
     assert link.closed
     released.set()
@@ -80,18 +80,18 @@
     ],
 )
 def test_monitor_pings_and_gives_up(ticks, heard, expected):
-    monitor = LinkMonitor(0.0, interval=0.5, silence=2.0)
+    monitor = LinkMonitor(0.0, interval=0.5, timeout=2.0)
     actions = []
     for tick in ticks:
         for moment in [h for h in heard if h <= tick]:
-            monitor.hear(moment)
+            monitor.note_received(moment)
         actions.append(monitor.tick(tick))
     assert actions == expected
 
 
 def test_own_suspension_is_not_counted_as_silence_of_the_peer():
     """After a suspension of a minute, the link to a live peer must not be closed."""
-    monitor = LinkMonitor(0.0, interval=0.5, silence=2.0)
+    monitor = LinkMonitor(0.0, interval=0.5, timeout=2.0)
     monitor.tick(0.5)
     assert monitor.tick(60.0) is LinkAction.PING
     assert monitor.tick(60.9) is LinkAction.PING
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -129,7 +129,7 @@
     detected = asyncio.Event()
 
     async def wait_for_disconnect(exchange: Exchange) -> None:
-        await exchange.gone.wait()
+        await exchange.disconnected.wait()
         detected.set()
         await exchange.respond(200, ())
 
