--- a/src/ibishead/keys.py
+++ b/src/ibishead/keys.py
@@ -34,7 +34,7 @@
 def find_caller(document: ServiceDocument, key: str) -> Caller | None:
     """Return the caller to whom a key belongs, `None` if the key is unknown.
 
-    A document that lists no callers admits every key.
+    A document that lists no callers admits every request, with any key or none.
     """
     if not document.callers:
         return Caller("anyone", document.team, "")
--- a/src/ibishead/messages.py
+++ b/src/ibishead/messages.py
@@ -142,7 +142,7 @@
 
 
 class Ping(_Message, frozen=True):
-    """Heartbeat that the peer's event loop, not only its kernel, has to answer."""
+    """Heartbeat, answered by the peer's event loop rather than by its kernel."""
 
     number: int
 
@@ -202,7 +202,7 @@
 
 
 class Acknowledge(_Message, frozen=True):
-    """All frames before ``next_sequence`` have arrived and need not be resent."""
+    """All frames before ``next_sequence`` have arrived and can be discarded."""
 
     request: RequestId
     attempt: int
@@ -506,7 +506,7 @@
 
 
 class PermitAnswer(_Message, frozen=True):
-    """Grants the permit for a load; it expires ``lifetime`` seconds after receipt."""
+    """Grants the load of that number a permit for ``lifetime`` seconds."""
 
     target: TargetId
     incarnation: Incarnation
--- a/src/ibishead/session.py
+++ b/src/ibishead/session.py
@@ -70,7 +70,7 @@
         self._last_received = now
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether the peer's heartbeat is late by half an interval or more."""
+        """Return whether the peer's heartbeat is more than half an interval late."""
         return now - self._last_received > OVERDUE_INTERVALS * self.interval
 
     def note_sent(self, now: float) -> None:
