--- a/benchmarks/policy/model.py
+++ b/benchmarks/policy/model.py
@@ -297,7 +297,7 @@
                 if key not in self.slots and key not in self.loading
             ),
             free_slots=SLOTS - len(self.slots) - len(self.loading) + unpinned,
-            coldest_uses=0.0
+            coldest_reuse=0.0
             if empty or victim is None
             else expect_reuse(victim, self.calendar.now),
             stalled=self.stalled(),
--- a/src/ibishead/agent/agent.py
+++ b/src/ibishead/agent/agent.py
@@ -50,8 +50,8 @@
             self.make_hello,
             clock,
             services=(settings.service,),
-            changed=self._handle_catalog_change,
-            connected=self._reattach,
+            on_change=self._handle_catalog_change,
+            on_connect=self._reattach,
             tls=make_client_context(settings.peer_tls) if settings.peer_tls else None,
             dialer=dialer,
         )
--- a/src/ibishead/agent/scheduler.py
+++ b/src/ibishead/agent/scheduler.py
@@ -209,7 +209,7 @@
             seconds_per_load=self._loader.seconds_per_load,
             pending_loads=self._loader.count_pending_loads(),
             free_slots=max(self._loader.count_available_slots(), 0),
-            coldest_uses=self._loader.estimate_coldest_reuse(),
+            coldest_reuse=self._loader.estimate_coldest_reuse(),
             stalled=sum(not self._is_ready(attempt) for attempt in queued),
         )
 
--- a/src/ibishead/decisions/views.py
+++ b/src/ibishead/decisions/views.py
@@ -212,7 +212,7 @@
             seconds_per_load=report.seconds_per_load,
             wishes=report.pending_loads + len(loading.difference(report.loading)),
             free_slots=report.free_slots,
-            coldest=report.coldest_uses,
+            coldest=report.coldest_reuse,
             stalled=report.stalled + sum(adapter not in resident for adapter in own),
         )
         self._index.set_held(view.target, resident | loading)
--- a/src/ibishead/entry/host.py
+++ b/src/ibishead/entry/host.py
@@ -39,7 +39,7 @@
             settings.control,
             lambda: hello,
             clock,
-            changed=self._follow_targets,
+            on_change=self._follow_targets,
             tls=tls,
             start_at=chance.randrange(len(settings.control)),
             dialer=dialer,
--- a/src/ibishead/messages.py
+++ b/src/ibishead/messages.py
@@ -293,7 +293,7 @@
     :param pending_loads: number of adapters that requests wait for and whose load has
         not begun.
     :param free_slots: slots that are empty or can be evicted now.
-    :param coldest_uses: decayed use count of the next adapter to be evicted, 0 if a
+    :param coldest_reuse: decayed use count of the next adapter to be evicted, 0 if a
         slot is empty.
     :param stalled: queued requests that wait for their adapter.
     """
@@ -311,7 +311,7 @@
     seconds_per_load: float = 0.25
     pending_loads: int = 0
     free_slots: int = 1
-    coldest_uses: float = 0.0
+    coldest_reuse: float = 0.0
     stalled: int = 0
 
 
--- a/src/ibishead/subscription.py
+++ b/src/ibishead/subscription.py
@@ -65,8 +65,8 @@
     :param replicas: link endpoints of the control replicas.
     :param hello: called at each connection attempt for the hello to send.
     :param services: services to subscribe to, all if empty.
-    :param changed: called after each update of the catalog.
-    :param connected: awaited after each connection, before messages are received.
+    :param on_change: called after each update of the catalog.
+    :param on_connect: awaited after each connection, before messages are received.
     :param start_at: index of the replica to try first.
     :param dialer: opens the links.
     :ivar catalog: local copy of the control state.
@@ -79,8 +79,8 @@
         clock: Clock,
         *,
         services: tuple[ServiceName, ...] = (),
-        changed: Callable[[], None] | None = None,
-        connected: Callable[[], Awaitable[None]] | None = None,
+        on_change: Callable[[], None] | None = None,
+        on_connect: Callable[[], Awaitable[None]] | None = None,
         tls: ssl.SSLContext | None = None,
         start_at: int = 0,
         dialer: Dialer = dial,
@@ -90,8 +90,8 @@
         self._hello = hello
         self._clock = clock
         self._services = services
-        self._changed = changed
-        self._connected = connected
+        self._on_change = on_change
+        self._on_connect = on_connect
         self._tls = tls
         self._dial = dialer
         self._next_replica = start_at
@@ -233,8 +233,8 @@
             )
             for ask, _ in list(self._pending.values()):
                 link.send(ask)
-            if self._connected is not None:
-                await self._connected()
+            if self._on_connect is not None:
+                await self._on_connect()
             async for message in link.receive():
                 self._handle(message)
         finally:
@@ -265,8 +265,8 @@
         self.catalog.renew(publish, self._clock.monotonic())
         if self._link is not None and self.catalog.index > previous_index:
             self._send_report(self._link)
-        if self._changed is not None:
-            self._changed()
+        if self._on_change is not None:
+            self._on_change()
 
     def _handle_refusal(self, refusal: Refusal) -> None:
         # Without a quorum, a claim fails at once, so that its caller gets the error.
--- a/tests/control/running.py
+++ b/tests/control/running.py
@@ -75,7 +75,7 @@
         [server.links for server in servers],
         lambda: hello,
         CLOCK,
-        connected=connected,
+        on_connect=connected,
     )
     subscription.start()
     return subscription
--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -156,7 +156,7 @@
         hello = Hello(Role.ENTRY, HostId("e1"))
         self.revisions: list[int] = []
         self.subscription = Subscription(
-            replicas, lambda: hello, CLOCK, changed=self.note
+            replicas, lambda: hello, CLOCK, on_change=self.note
         )
         self.subscription.start()
 
@@ -270,7 +270,7 @@
         lambda: hello,
         CLOCK,
         start_at=first,
-        connected=connected,
+        on_connect=connected,
     )
     subscription.start()
     return subscription
