--- a/tests/test_tls_path.py
+++ b/tests/test_tls_path.py
@@ -143,10 +143,10 @@
     links = LinkServer(
         lambda link: agent.serve(link), lambda: agent.make_hello(), CLOCK, tls=tls
     )
-    taken = await links.start(LOOPBACK)
-    agent = Agent(settings, taken, TargetClient(endpoint, False, CLOCK), CLOCK)
+    links_endpoint = await links.start(LOOPBACK)
+    agent = Agent(settings, links_endpoint, TargetClient(endpoint, False, CLOCK), CLOCK)
     await agent.start()
-    yield taken
+    yield links_endpoint
     await links.stop()
     await agent.stop()
     await target.stop(grace=0.0)
