--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -49,7 +49,7 @@
     Guard(
         "an order isn't sent under a grant that was given up",
         "entry/claims.py",
-        "if answer.generation > given_up:",
+        "if answer.generation > last_released:",
         "if True:",
         (f"{CLAIMS}::test_an_order_is_not_sent_under_a_grant_that_was_given_up",),
     ),
@@ -58,19 +58,16 @@
         "subscription.py",
         'return f"question/{message.question}"',
         'return f"question/{message.request}"',
-        (
-            f"{QUESTIONS}"
-            "::test_an_earlier_answer_about_a_claim_is_no_answer_to_the_next_ask",
-        ),
+        (f"{QUESTIONS}::test_duplicate_claim_answer_does_not_answer_the_next_request",),
     ),
     Guard(
         "an answer to an earlier life of a replica is none to this one",
         "control/replica.py",
-        "Answers(draw(NUMBERS))",
-        "Answers(0)",
+        "PendingQuestions(draw(FIRST_NUMBER_BOUND))",
+        "PendingQuestions(0)",
         (
             "tests/control/test_replica.py"
-            "::test_answer_to_an_earlier_life_is_none_to_this_one",
+            "::test_answer_from_before_a_restart_is_ignored",
         ),
     ),
     Guard(
@@ -96,18 +93,18 @@
     Guard(
         "haste in elections deposes nobody",
         "control/election.py",
-        "    if _hears_leader(state) and not request.transfer:",
+        "    if _has_live_leader(state) and not request.transfer:",
         "    if False:",
-        ("tests/test_consensus.py::test_haste_leaves_a_leader_alone",),
+        ("tests/test_consensus.py::test_early_election_keeps_a_working_leader",),
     ),
     Guard(
         "loads that wait at an engine without its model count",
         "decisions/choice.py",
-        "return adapter.model_wait + _estimate_load(adapter, rank)",
+        "return adapter.model_wait + _estimate_load_delay(adapter, rank)",
         "return adapter.model_wait + LOAD_DELAY",
         (
             "tests/decisions/test_choice.py"
-            "::test_an_engine_that_comes_back_gets_no_more_than_it_loads_in_time",
+            "::test_restarting_engine_gets_no_more_than_it_can_load_in_time",
         ),
     ),
     Guard(
@@ -115,28 +112,25 @@
         "decisions/choice.py",
         "    if need.weights is None:\n        # An engine runs",
         "    if True:\n        # An engine runs",
-        (
-            "tests/decisions/test_choice.py"
-            "::test_a_busy_engine_that_holds_the_adapter_is_asked_first",
-        ),
+        ("tests/decisions/test_choice.py::test_busy_engine_with_adapter_is_preferred",),
     ),
     Guard(
         "loads at once follow the store",
         "decisions/loadpace.py",
-        "if seconds > STRETCH * self._usual:",
+        "if seconds > SLOW_RATIO * self._median:",
         "if False:",
-        ("tests/decisions/test_loadpace.py::test_loads_at_once_follow_the_store",),
+        ("tests/decisions/test_loadpace.py::test_concurrent_loads_follow_store_speed",),
     ),
     Guard(
         "what helps most callers is loaded first",
         "decisions/residents.py",
-        "key=lambda w: (w.helped, w.asked)",
-        "key=lambda w: (0, -w.asked)",
+        "key=lambda d: (d.served, d.due)",
+        "key=lambda d: (0, -d.due)",
         (
             "tests/decisions/test_residents.py"
-            "::test_loads_that_help_callers_in_time_go_first",
+            "::test_loads_that_serve_callers_in_time_go_first",
             "tests/decisions/test_loadpace.py"
-            "::test_more_callers_are_in_time_when_all_engines_load",
+            "::test_learned_limit_serves_more_callers_when_all_engines_load",
         ),
     ),
     Guard(
@@ -315,7 +309,7 @@
     Guard(
         "doubt belongs to the request",
         "entry/dispatching.py",
-        "job.doubtful |= ended.outcome is Outcome.UNKNOWN",
+        "job.may_have_run |= result.outcome is Outcome.UNKNOWN",
         "pass",
         (f"{PROMISES}::test_request_that_ran_once_is_never_told_as_not_run",),
     ),
@@ -336,7 +330,7 @@
     Guard(
         "a protected request is claimed first",
         "entry/pipeline.py",
-        "else self._claimed.run",
+        "else self._claimed_runner.run",
         "else self._dispatcher.run",
         (f"{PROMISES}::test_promises_hold_under_any_schedule",),
     ),
@@ -360,14 +354,14 @@
     Guard(
         "asks for permits reach the leader",
         "control/granting.py",
-        "if stays or leader is None or not self._forward(leader, ask):",
+        "if is_final or leader is None or not self._forward(leader, request):",
         "if True:",
         ("tests/control/test_group.py::test_permit_comes_through_a_follower",),
     ),
     Guard(
         "targets of a dead replica are retired",
         "control/upkeep.py",
-        "return not leads or self._relay.reaches(member.replica)",
+        "return not is_leader or self._relay.is_connected(member.replica)",
         "return True",
         (
             "tests/control/test_group.py::"
--- a/src/ibishead/control/driver.py
+++ b/src/ibishead/control/driver.py
@@ -1,7 +1,7 @@
-"""Drives the consensus of one replica: clock, disk, state machine and links.
+"""Connects a replica's consensus to the clock, disk, state machine and links.
 
-All runs on the loop's one thread. A sync blocks the loop, so everything that is
-proposed while one runs shares the next.
+All code runs on the event loop's thread. A sync blocks the loop, so all proposals that
+arrive during one sync share the next.
 """
 
 import asyncio
@@ -32,40 +32,42 @@
 from ibishead.errors import ErrorCode, StorageFault
 from ibishead.ids import HostId, LogIndex, ReplicaId, Term
 
-__all__ = ["DataFiles", "LogDriver", "Pace", "PeerSender"]
+__all__ = ["DataFiles", "LogDriver", "PeerSender", "ReplicaOptions"]
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
-class Pace:
-    """How fast a replica works, and when it gives up.
-
-    :param tick: seconds of one tick of the consensus.
-    :param answer: seconds in which a proposal or a read is answered.
-    :param repair: seconds of silence after which a voter counts as lost.
-    :param readmit: a voter whose host is back with an emptied disk is replaced at once
-        by that host's new replica, without an operator's word.
-    :param voters: voters that unattended repair keeps up, 0 to leave the number alone.
+class ReplicaOptions:
+    """Durations, limits and repair options of a replica.
+
+    :param tick_seconds: duration of one tick of the consensus, in seconds.
+    :param timing: durations in ticks, and limits of the log.
+    :param answer_timeout: timeout of a proposal or read, in seconds.
+    :param repair_after: seconds of silence after which a voter counts as lost.
+    :param replace_emptied: replace a voter at once, without an operator's command, if
+        its host returns with an emptied disk; the host's new replica takes its place.
+    :param target_voters: number of voters that automatic repair maintains; 0 to leave
+        the number as it is.
     :param snapshot_entries: applied entries between two snapshots.
     :param snapshot_bytes: bytes of applied commands between two snapshots.
-    :param reserve: bytes that must stay free on the disk for changes to be taken.
+    :param reserve_bytes: free disk space in bytes below which changes are refused.
     """
 
-    tick: float = 0.05
+    tick_seconds: float = 0.05
     timing: Timing = Timing(heartbeat=2, election=20)
-    answer: float = 5.0
-    repair: float = 300.0
-    readmit: bool = False
-    voters: int = 0
+    answer_timeout: float = 5.0
+    repair_after: float = 300.0
+    replace_emptied: bool = False
+    target_voters: int = 0
     snapshot_entries: int = 1000
     snapshot_bytes: int = 32 * 1024 * 1024
-    reserve: int = 64 * 1024 * 1024
+    reserve_bytes: int = 64 * 1024 * 1024
 
     @property
-    def election(self) -> float:
-        """Seconds without contact until an election."""
-        return self.timing.election * self.tick
+    def election_timeout(self) -> float:
+        """Election timeout in seconds."""
+        return self.timing.election * self.tick_seconds
 
 
 class PeerSender(Protocol):
@@ -76,36 +78,36 @@
         """All other hosts."""
 
     def start(self) -> None:
-        """Begin to dial."""
+        """Start to connect to the other hosts."""
 
     async def stop(self) -> None:
         """Close all links."""
 
     def reaches(self, host: HostId) -> bool:
-        """Return whether a link to the host is up."""
+        """Return whether a link to the host is open."""
 
     def send(self, identity: Identity, to: ReplicaId, message: ReplicaMessage) -> bool:
-        """Send to a replica, and return whether a link leads to its host."""
+        """Send to a replica, and return whether there is an open link to its host."""
 
     def introduce(self, identity: Identity, host: HostId) -> None:
-        """Tell whoever runs on a host who runs here."""
+        """Send this replica's identity to the replica on a host, whichever it is."""
 
 
 class DataFiles(Files, Protocol):
     """A data folder."""
 
     def free_bytes(self) -> int:
-        """Return the room that is left on the disk."""
+        """Return the free space on the disk in bytes."""
 
     def close(self) -> None:
-        """Close all files and let go of the lock."""
+        """Close all files and release the lock."""
 
 
 class LogDriver:
-    """Does what the consensus puts out, and tells it what has happened.
+    """Performs the outputs of a replica's consensus and feeds events into it.
 
-    :param draw: returns a number from 0 up to its argument, less one.
-    :param on_failure: called once, when the disk has failed and nothing goes on.
+    :param draw: returns a random integer from 0 to its argument minus one.
+    :param on_failure: called once, when the disk has failed and the replica stops.
     """
 
     def __init__(
@@ -116,10 +118,10 @@
         links: PeerSender,
         clock: Clock,
         draw: Callable[[int], int],
-        pace: Pace,
+        options: ReplicaOptions,
         on_failure: Callable[[StorageFault], None],
     ) -> None:
-        self.pace = pace
+        self.options = options
         self.waiters = Waiters()
         self.reads: dict[int, asyncio.Future[LogIndex | None]] = {}
         self.failed: StorageFault | None = None
@@ -129,88 +131,96 @@
         self._clock = clock
         self._draw = draw
         self._on_failure = on_failure
-        self._flush_due = False
-        self._write_due = False
-        self._unwritten: list[Write] = []
-        self._stuck = False
+        self._flush_scheduled = False
+        self._write_scheduled = False
+        self._pending_writes: list[Write] = []
+        self._write_blocked = False
         self._snapshot_index = 0
         self._applied_bytes = 0
-        self._room = False
+        self._has_free_space = False
         self._leader: ReplicaId | None = None
-        self._ticked = clock.monotonic()
+        self._last_tick = clock.monotonic()
         self.load(identity)
 
     def load(self, identity: Identity) -> None:
-        """Begin from what the disk holds, under an identity.
+        """Load the stored state, and start the consensus under an identity.
 
-        :raises StorageFault: the folder is damaged.
+        :raises StorageFault: the data folder is damaged.
         """
         self.identity = identity
         self._storage = Storage(self._files, identity)
         stored = self._storage.load()
-        self.core = Consensus(identity.replica, stored, self.pace.timing, self._draw)
-        self._ticked = self._clock.monotonic()
+        self.core = Consensus(identity.replica, stored, self.options.timing, self._draw)
+        self._last_tick = self._clock.monotonic()
         if stored.snapshot.index:
             self._restore(stored.snapshot)
 
     def advance(self) -> int:
-        """Let the consensus catch up with the clock, and return the ticks it took.
+        """Advance the consensus to the current time, and return the ticks passed.
 
-        A process that was frozen finds many ticks due. They pass before anything that
-        waited is acted on, so that a leader which has slept learns that it may have
-        been replaced before it answers. More than a few elections make no difference.
+        After a suspension of the process, many ticks are due. They are processed before
+        any pending input, so that a suspended leader finds that it may have been
+        replaced before it answers. Ticks beyond three election timeouts are skipped, as
+        they make no difference.
         """
-        due = int((self._clock.monotonic() - self._ticked) / self.pace.tick)
-        if due <= 0 or self.failed:
+        due_ticks = int(
+            (self._clock.monotonic() - self._last_tick) / self.options.tick_seconds
+        )
+        if due_ticks <= 0 or self.failed:
             return 0
-        self._ticked += due * self.pace.tick
-        for _ in range(min(due, 3 * self.pace.timing.election)):
+        self._last_tick += due_ticks * self.options.tick_seconds
+        for _ in range(min(due_ticks, 3 * self.options.timing.election)):
             self.core.tick()
-        self.waiters.expire(self._ticked)
+        self.waiters.expire(self._last_tick)
         self.schedule_flush()
-        if self._unwritten:
+        if self._pending_writes:
             self._schedule_write()
-        return due
+        return due_ticks
 
     def lease(self) -> float:
         """Return the seconds for which the applied state counts as current."""
         self.advance()
-        since = self._clock.monotonic() - self._ticked
-        lease = self.core.lease() * self.pace.tick - since
+        since = self._clock.monotonic() - self._last_tick
+        lease = self.core.lease() * self.options.tick_seconds - since
         return 0.0 if self.failed else max(0.0, lease)
 
     def step(self, sender: ReplicaId, message: PeerMessage) -> None:
-        """Take in a message of another replica's consensus."""
+        """Process a consensus message from another replica."""
         try:
             self.core.step(sender, message)
         except StorageFault as fault:
             self.fail(fault)
         self.schedule_flush()
 
-    def has_room(self) -> bool:
-        """Return whether the disk has taken all writes and has room for more.
+    def has_space(self) -> bool:
+        """Return whether no write is blocked by a full disk and there is free space.
 
-        All proposals of one turn share the answer, as they share the write.
+        The result is cached until the next flush: all proposals before it share one
+        write.
         """
-        if not self._room:
-            self._room = self._files.free_bytes() >= self.pace.reserve
+        if not self._has_free_space:
+            self._has_free_space = (
+                self._files.free_bytes() >= self.options.reserve_bytes
+            )
             self.schedule_flush()
-        return self._room and not self._stuck
+        return self._has_free_space and not self._write_blocked
 
     def wait_for(self, index: LogIndex, term: Term) -> asyncio.Future[bytes]:
-        """Return the future result of an entry that was proposed just now."""
+        """Return a future for the result of an entry that was just proposed."""
         self.schedule_flush()
-        return self.waiters.add_proposal(index, term, self._ticked + self.pace.answer)
+        return self.waiters.add_proposal(
+            index, term, self._last_tick + self.options.answer_timeout
+        )
 
     def schedule_flush(self) -> None:
-        """Do, at the end of this turn of the loop, what the consensus puts out."""
-        if not self._flush_due and not self.failed:
-            self._flush_due = True
+        """Perform the outputs of the consensus after the callbacks already queued."""
+        if not self._flush_scheduled and not self.failed:
+            self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self._flush_due = self._room = False
-        while outputs := self.core.take():
+        self._flush_scheduled = self._has_free_space = False
+        while outputs := self.core.take_outputs():
             for output in outputs:
                 self._perform(output)
         self._take_snapshot()
@@ -233,7 +243,7 @@
             case Send(to, message):
                 self._links.send(self.identity, to, message)
             case Write():
-                self._unwritten.append(output)
+                self._pending_writes.append(output)
                 self._schedule_write()
             case Apply(entries):
                 for entry in entries:
@@ -241,39 +251,42 @@
             case Restore(snapshot):
                 self._restore(snapshot)
             case ReadReady(context, index):
-                self._answer_read(context, index)
+                self._complete_read(context, index)
             case ReadRefused(context):
-                self._answer_read(context, None)
+                self._complete_read(context, None)
 
     def _schedule_write(self) -> None:
-        # the links' writers run first, so that followers sync at the same time
-        if not self._write_due:
-            self._write_due = True
+        # let the links' writer tasks run first, so that followers sync concurrently
+        if not self._write_scheduled:
+            self._write_scheduled = True
             asyncio.get_running_loop().call_soon(self._write)
 
     def _write(self) -> None:
-        self._write_due = self._stuck = False
+        self._write_scheduled = self._write_blocked = False
         try:
-            while self._unwritten and not self.failed:
-                self._storage.write(self._unwritten[0])
-                self.core.synced(self._unwritten.pop(0).token)
+            while self._pending_writes and not self.failed:
+                self._storage.write(self._pending_writes[0])
+                self.core.synced(self._pending_writes.pop(0).token)
         except StorageFault as fault:
             if fault.code is ErrorCode.STORAGE_FULL:
-                # nothing was answered; it is tried again with the next tick
-                self._stuck = True
-                logger.warning("control log not written", extra={"reason": str(fault)})
+                # nothing was acknowledged; the write is retried with the next tick
+                self._write_blocked = True
+                logger.warning(
+                    "disk full, write to the control log will be retried",
+                    extra={"reason": str(fault)},
+                )
             else:
                 self.fail(fault)
                 return
         self.schedule_flush()
 
     def fail(self, fault: StorageFault) -> None:
-        """Stop for good, as nothing is known of the disk any more."""
-        logger.critical("the control log has failed", extra={"reason": str(fault)})
+        """Stop permanently, as the content of the disk is unknown after a fault."""
+        logger.critical("control log storage failed", extra={"reason": str(fault)})
         self.failed = fault
         self.waiters.fail()
         for context in list(self.reads):
-            self._answer_read(context, None)
+            self._complete_read(context, None)
         self._on_failure(fault)
 
     def _apply(self, entry: Entry) -> None:
@@ -281,23 +294,23 @@
         if entry.kind is EntryKind.COMMAND:
             result = self._machine.apply(entry.index, entry.data)
         self._applied_bytes += len(entry.data)
-        self.waiters.note_result(entry.index, entry.term, result)
-        self.waiters.note_applied(entry.index)
+        self.waiters.complete_proposal(entry.index, entry.term, result)
+        self.waiters.advance_applied(entry.index)
 
     def _restore(self, snapshot: Snapshot) -> None:
         self._machine.restore(snapshot.data)
         self._snapshot_index = snapshot.index
-        self.waiters.note_restored(snapshot.index)
+        self.waiters.handle_restore(snapshot.index)
 
-    def _answer_read(self, context: int, index: LogIndex | None) -> None:
+    def _complete_read(self, context: int, index: LogIndex | None) -> None:
         future = self.reads.pop(context, None)
         if future is not None and not future.done():
             future.set_result(index)
 
     def _take_snapshot(self) -> None:
         applied = self.core.applied
-        many = applied - self._snapshot_index >= self.pace.snapshot_entries
-        if many or self._applied_bytes >= self.pace.snapshot_bytes:
+        enough_entries = applied - self._snapshot_index >= self.options.snapshot_entries
+        if enough_entries or self._applied_bytes >= self.options.snapshot_bytes:
             self.core.compact(applied, self._machine.capture())
             self._snapshot_index = applied
             self._applied_bytes = 0
