--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -177,7 +177,7 @@
         "        if False:\n",
         (
             "tests/steward/test_steward.py"
-            "::test_an_engine_that_nobody_has_heard_of_is_named",
+            "::test_unregistered_engine_is_registered_by_its_steward",
         ),
     ),
     Guard(
@@ -265,7 +265,7 @@
     Guard(
         "no lease on either side, no run",
         "agent/gate.py",
-        "if unconfirmed_run and state.unconfirmed is Unconfirmed.REFUSE:",
+        "if unconfirmed_run and state.unconfirmed is UnconfirmedPolicy.REFUSE:",
         "if False:",
         (f"{GATE}::test_gate_decides",),
     ),
