--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks with bounds, and the commands that measure slopes."""
+"""Benchmarks, some with pass/fail bounds, and tools that evaluate test runs."""
--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,7 +1,7 @@
-"""Lays a build of the system with one mechanism switched off.
+"""Prepares a copy of the repository with one mechanism disabled.
 
 Run with ``python -m benchmarks.ablation MECHANISM FOLDER``, where FOLDER is a copy of
-the repository. Its deploy file then starts the programs by `benchmarks.without`.
+the repository. Its deploy file then starts the programs with `benchmarks.without`.
 """
 
 from pathlib import Path
@@ -10,18 +10,20 @@
 
 from benchmarks.without import MECHANISMS
 
-__all__ = ["lay", "main"]
+__all__ = ["disable_mechanism", "main"]
 
 _LAUNCHER = "deploy/launch.py"
 
 
-def lay(mechanism: str, deploy_file: str) -> str:
-    """Return a deploy file that starts all programs without a mechanism.
+def disable_mechanism(mechanism: str, deploy_file: str) -> str:
+    """Return a deploy file that starts all programs with a mechanism disabled.
 
-    :raises ValueError: nothing in it starts by the launcher.
+    :param mechanism: a key of `benchmarks.without.MECHANISMS`.
+    :param deploy_file: text of an unmodified deploy file.
+    :raises ValueError: no program in it is started by the launcher.
     """
     if _LAUNCHER not in deploy_file:
-        raise ValueError(f"no program starts by {_LAUNCHER}: take an unchanged copy")
+        raise ValueError(f"no program is started by {_LAUNCHER}: use an unchanged copy")
     return deploy_file.replace(_LAUNCHER, f"benchmarks/without.py {mechanism}")
 
 
@@ -29,9 +31,11 @@
 @click.argument("mechanism", type=click.Choice(sorted(MECHANISMS)))
 @click.argument("folder", type=click.Path(exists=True, path_type=Path))
 def main(mechanism: str, folder: Path) -> None:
-    """Switch off MECHANISM in the copy of the repository in FOLDER."""
+    """Disable MECHANISM in the copy of the repository in FOLDER."""
     file = folder / "deploy" / "system.toml"
-    file.write_text(lay(mechanism, file.read_text(encoding="utf-8")), encoding="utf-8")
+    file.write_text(
+        disable_mechanism(mechanism, file.read_text(encoding="utf-8")), encoding="utf-8"
+    )
     click.echo(f"{file}: without {mechanism}")
 
 
--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -1,7 +1,8 @@
-"""Slopes for docs/CAPACITY.md: what one adapter, target or idle link costs a role.
+"""Measures the cost of one adapter, target or idle link by role, for docs/CAPACITY.md.
 
 Run with ``python -m benchmarks.bench_capacity``; it prints JSON. Each slope is the
-difference between two states of the same processes, divided by what was added.
+difference in usage between two states of the same processes, divided by the number of
+items added.
 """
 
 import asyncio
@@ -32,20 +33,20 @@
 TARGETS = 200
 LINKS = 200
 
-#: Seconds for which idle processes are watched.
-WATCH = 5.0
+#: Seconds over which the CPU time of idle processes is sampled.
+SAMPLE_SECONDS = 5.0
 
-#: Seconds between an agent's reports, to entries and to control.
-REPORT_INTERVAL = 1.0
+#: Seconds between two reports of an agent, to entry hosts and to control replicas.
+REPORT_INTERVAL_SECONDS = 1.0
 
 CLOCK = SystemClock()
 
 
 class Slope(msgspec.Struct):
-    """What one more of something costs a process.
+    """Marginal cost of one item for a process.
 
-    :param bytes: of resident memory.
-    :param core_share: of one core, while idle.
+    :ivar bytes: resident memory, in bytes.
+    :ivar core_share: share of one core that is used while idle.
     """
 
     bytes: float
@@ -53,14 +54,14 @@
 
 
 class Traffic(msgspec.Struct):
-    """Bytes a second on one idle link, each way."""
+    """Bytes per second in each direction of one idle link."""
 
     to_peer: float
     from_peer: float
 
 
 class Report(msgspec.Struct):
-    """All slopes, by role, and the resident bytes that each role starts from."""
+    """Slopes by role, and the resident bytes and core share of each role when empty."""
 
     empty_bytes: dict[str, int]
     idle_core_share: dict[str, float]
@@ -72,14 +73,14 @@
 
 
 @dataclass(frozen=True)
-class _State:
+class _Usage:
     memory: dict[str, int]
     core_share: dict[str, float]
 
 
 @dataclass
 class _Agents:
-    """Agents without targets, all behind one link server of this process."""
+    """Simulated agents that share one link server in this process."""
 
     control: Endpoint
     to_control: list[Link] = field(default_factory=list)
@@ -87,13 +88,14 @@
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     async def start(self, count: int) -> None:
-        """Register, and return once an entry has linked to each."""
+        """Register agents and wait until the entry host has a link to each."""
         server = LinkServer(self._serve, _greet, CLOCK)
         endpoint = await server.start(Endpoint(LOOPBACK, 0))
         for number in range(count):
             await self._register(number, endpoint)
         await wait_until(
-            "the entry has linked to all", lambda: len(self.from_entries) >= count
+            "the entry host has a link to each agent",
+            lambda: len(self.from_entries) >= count,
         )
 
     async def _register(self, number: int, endpoint: Endpoint) -> None:
@@ -127,35 +129,39 @@
 
 
 async def measure_adapters(fleet: Fleet) -> dict[str, Slope]:
-    """Return what one adapter in a document costs each role."""
-    before = await _watch(fleet)
+    """Return the cost of one adapter in a service document, by role."""
+    before = await _sample(fleet)
     names = "".join(f"net-{n:05d} = v1\n" for n in range(ADAPTERS))
     text = (await fleet.operate("GET", "/v1/documents/mester")).value["text"]
     document = str(text).replace("[adapters]\n", f"[adapters]\n{names}", 1)
     target = "/v1/documents/mester?base=1&submission=many"
     reply = await fleet.operate("POST", target, document.encode())
     if reply.status != 200:
-        raise SystemExit(f"the document was refused: {reply}")
+        raise SystemExit(f"document update failed: {reply}")
     await fleet.wait_in_force(reply.value["index"])
-    return _compare(before, await _watch(fleet), ADAPTERS)
+    return _compare(before, await _sample(fleet), ADAPTERS)
 
 
 async def measure_targets(fleet: Fleet) -> tuple[dict[str, Slope], Traffic, Traffic]:
-    """Return what one target costs each role, and the traffic of its two links."""
-    before = await _watch(fleet)
+    """Return the cost of one target by role, and the traffic on its two links."""
+    before = await _sample(fleet)
     agents = _Agents(Endpoint(LOOPBACK, fleet.control_ports[0]))
     await agents.start(TARGETS)
-    begin = time.monotonic(), _count(agents.to_control), _count(agents.from_entries)
-    after = await _watch(fleet)
-    seconds = time.monotonic() - begin[0]
+    start = (
+        time.monotonic(),
+        _count_bytes(agents.to_control),
+        _count_bytes(agents.from_entries),
+    )
+    after = await _sample(fleet)
+    seconds = time.monotonic() - start[0]
     traffic = [
         Traffic(
-            (now[0] - then[0]) / seconds / TARGETS,
-            (now[1] - then[1]) / seconds / TARGETS,
+            (later[0] - earlier[0]) / seconds / TARGETS,
+            (later[1] - earlier[1]) / seconds / TARGETS,
         )
-        for then, now in (
-            (begin[1], _count(agents.to_control)),
-            (begin[2], _count(agents.from_entries)),
+        for earlier, later in (
+            (start[1], _count_bytes(agents.to_control)),
+            (start[2], _count_bytes(agents.from_entries)),
         )
     ]
     for task in agents.tasks:
@@ -166,8 +172,8 @@
 
 
 async def measure_links(fleet: Fleet) -> Slope:
-    """Return what one idle link of an entry costs an agent."""
-    before = await _watch(fleet)
+    """Return the cost to an agent of one idle link from an entry host."""
+    before = await _sample(fleet)
     agent = fleet.engines[0].agent
     port = await agent.read_port(f"{agent.name}.links.port")
     tasks = []
@@ -175,7 +181,7 @@
         hello = Hello(Role.ENTRY, HostId(f"bench-entry-{number}"))
         link = await dial(Endpoint(LOOPBACK, port), hello, CLOCK)
         tasks.append(asyncio.create_task(_drain(link.receive())))
-    after = await _watch(fleet)
+    after = await _sample(fleet)
     for task in tasks:
         task.cancel()
     return _compare(before, after, LINKS)["agent"]
@@ -191,26 +197,26 @@
     while not link.closed:
         number += 1
         link.send(ReportInForce(host, 0, number))
-        await asyncio.sleep(REPORT_INTERVAL)
+        await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
 
 async def _report_load(link: Link) -> None:
     report = LoadReport(TargetId("bench"), 0, 0, 8, 8, tuple(range(8)), (), 0.5)
     while not link.closed:
         link.send(report)
-        await asyncio.sleep(REPORT_INTERVAL)
+        await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
 
 def _greet() -> Hello:
     return Hello(Role.AGENT, HostId("bench"), Incarnation(0))
 
 
-def _count(links: list[Link]) -> tuple[int, int]:
+def _count_bytes(links: list[Link]) -> tuple[int, int]:
     sent = sum(link.sent_bytes for link in links)
     return sent, sum(link.received_bytes for link in links)
 
 
-async def _watch(fleet: Fleet) -> _State:
+async def _sample(fleet: Fleet) -> _Usage:
     programs: dict[str, Program] = {
         "entry": fleet.entries[0],
         "agent": fleet.engines[0].agent,
@@ -218,14 +224,17 @@
     }
     pids = {role: program.pid for role, program in programs.items()}
     before = {role: read_cpu(pid) for role, pid in pids.items()}
-    await asyncio.sleep(WATCH)
-    return _State(
+    await asyncio.sleep(SAMPLE_SECONDS)
+    return _Usage(
         {role: read_memory(pid) for role, pid in pids.items()},
-        {role: (read_cpu(pid) - before[role]) / WATCH for role, pid in pids.items()},
+        {
+            role: (read_cpu(pid) - before[role]) / SAMPLE_SECONDS
+            for role, pid in pids.items()
+        },
     )
 
 
-def _compare(before: _State, after: _State, count: int) -> dict[str, Slope]:
+def _compare(before: _Usage, after: _Usage, count: int) -> dict[str, Slope]:
     return {
         role: Slope(
             (after.memory[role] - before.memory[role]) / count,
@@ -236,13 +245,16 @@
 
 
 async def measure(folder: Path) -> Report:
-    """Measure everything."""
+    """Run all measurements.
+
+    :param folder: directory for the files of the programs.
+    """
     fleet = Fleet(folder, Shape(entries=1, engines=1))
     try:
         await fleet.start()
         await fleet.submit_all()
         await fleet.wait_serving()
-        empty = await _watch(fleet)
+        empty = await _sample(fleet)
         links = await measure_links(fleet)
         targets, control_link, agent_link = await measure_targets(fleet)
         adapters = await measure_adapters(fleet)
@@ -260,7 +272,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run all measurements and print the report as JSON."""
     with tempfile.TemporaryDirectory() as folder:
         report = asyncio.run(measure(Path(folder)))
     print(msgspec.json.format(msgspec.json.encode(report)).decode())
--- a/benchmarks/bench_commits.py
+++ b/benchmarks/bench_commits.py
@@ -1,7 +1,8 @@
-"""Commits a second with and without group commit, on the disk of the folder.
+"""Measures commits per second with and without group commit.
 
-Run with ``python -m benchmarks.bench_commits [FOLDER]``; it prints JSON and ends with
-status 1 when group commit gains less than its bound. Both kinds run in turns.
+Run with ``python -m benchmarks.bench_commits [FOLDER]``, where FOLDER selects the disk;
+it prints JSON and exits with status 1 if the speed-up of group commit is below its
+bound. Grouped and single commits alternate.
 """
 
 import asyncio
@@ -17,19 +18,19 @@
 from benchmarks.lone_log import make_command, open_log
 from ibishead.control.replica import LogReplica
 
-WAITERS = 64
+PROPOSERS = 64
 ROUNDS = 5
 
-#: Changes of each waiter in one round.
+#: Changes that each proposer commits in one round.
 GROUPED_CHANGES = 40
 SINGLE_CHANGES = 4
 
-#: What group commit must gain at least; a sync costs far more than an entry.
-RATIO_BOUND = 10.0
+#: Minimum speed-up of group commit; a sync costs far more than writing an entry.
+MIN_RATIO = 10.0
 
 
 class Report(msgspec.Struct):
-    """Medians over the rounds, in commits a second."""
+    """Medians over the rounds, in commits per second."""
 
     waiters: int
     grouped: float
@@ -39,24 +40,28 @@
 
 
 async def measure_rate(replica: LogReplica, changes: int, *, grouped: bool) -> float:
-    """Return the commits a second of many waiters.
+    """Return the commits per second of many concurrent proposers.
 
-    :param grouped: let all that wait share a sync; else each has its own.
+    :param changes: changes that each proposer commits.
+    :param grouped: let concurrent changes share a sync; otherwise each has its own.
     """
-    turn = asyncio.Lock()
+    lock = asyncio.Lock()
 
-    async def wait_for_changes() -> None:
+    async def propose_changes() -> None:
         for number in range(changes):
-            async with contextlib.nullcontext() if grouped else turn:
+            async with contextlib.nullcontext() if grouped else lock:
                 await replica.propose(make_command(number))
 
-    begun = time.perf_counter()
-    await asyncio.gather(*(wait_for_changes() for _ in range(WAITERS)))
-    return WAITERS * changes / (time.perf_counter() - begun)
+    start = time.perf_counter()
+    await asyncio.gather(*(propose_changes() for _ in range(PROPOSERS)))
+    return PROPOSERS * changes / (time.perf_counter() - start)
 
 
 async def measure(folder: Path) -> Report:
-    """Measure both kinds in turns."""
+    """Measure grouped and single commits, alternating.
+
+    :param folder: directory for the log.
+    """
     grouped, single = [], []
     async with open_log(folder, snapshot_entries=1_000_000) as (replica, _):
         for _ in range(ROUNDS):
@@ -65,13 +70,13 @@
     rates = statistics.median(grouped), statistics.median(single)
     ratio = rates[0] / rates[1]
     exceeded = []
-    if ratio < RATIO_BOUND:
-        exceeded.append(f"group commit gains {ratio:.1f}, less than {RATIO_BOUND}")
-    return Report(WAITERS, *rates, ratio, exceeded)
+    if ratio < MIN_RATIO:
+        exceeded.append(f"group commit speed-up is {ratio:.1f}, below {MIN_RATIO}")
+    return Report(PROPOSERS, *rates, ratio, exceeded)
 
 
 def main() -> None:
-    """Measure, print, and fail when a bound is exceeded."""
+    """Print the report as JSON and exit with status 1 if a bound is exceeded."""
     parent = sys.argv[1] if len(sys.argv) > 1 else None
     with tempfile.TemporaryDirectory(dir=parent) as folder:
         report = asyncio.run(measure(Path(folder)))
--- a/benchmarks/bench_parts.py
+++ b/benchmarks/bench_parts.py
@@ -1,7 +1,7 @@
-"""What the small parts cost that every change, request or token pays for.
+"""Measures operations that run once per document change, request or token.
 
-Run with ``python -m pytest benchmarks/bench_parts.py``; a broken bound fails. Bounds
-leave room for a busy machine.
+Run with ``python -m pytest benchmarks/bench_parts.py``; a test fails if its
+bound is exceeded. The bounds allow for a busy machine.
 """
 
 import io
@@ -31,39 +31,42 @@
 LINES = "".join(f"net-{n} = 1 2 3\n" for n in range(ADAPTERS))
 SECTIONS = "".join(f"[adapter:net-{n}]\nversions = 1 2 3\n" for n in range(ADAPTERS))
 
-#: Seconds of a host's loop that one change of a document may take.
-LINES_BOUND = 0.1
-SECTIONS_BOUND = 0.3
+#: Seconds for which a document change may block the event loop of a host.
+LINES_BOUND_SECONDS = 0.1
+SECTIONS_BOUND_SECONDS = 0.3
 
-#: Seconds that one token may pay for being measured.
-OBSERVATION_BOUND = 5e-6
+#: Seconds that one metrics observation, made for each token, may take.
+OBSERVATION_BOUND_SECONDS = 5e-6
 
-#: Seconds that one request may pay for its log line.
-LOG_LINE_BOUND = 150e-6
+#: Seconds that the log record of one request may take.
+LOG_LINE_BOUND_SECONDS = 150e-6
 
 
 @pytest.mark.parametrize(
     ("text", "bound"),
-    [(HEAD + "[adapters]\n" + LINES, LINES_BOUND), (HEAD + SECTIONS, SECTIONS_BOUND)],
+    [
+        (HEAD + "[adapters]\n" + LINES, LINES_BOUND_SECONDS),
+        (HEAD + SECTIONS, SECTIONS_BOUND_SECONDS),
+    ],
     ids=["lines", "sections"],
 )
 def test_parse_of_thousands_of_adapters(benchmark, text, bound):
-    """One change of a document stops every host's loop for that long."""
+    """Parsing a changed document blocks the event loop of every host."""
     document = benchmark(parse_document, text)
     assert len(document.adapters) == ADAPTERS
     assert benchmark.stats.stats.median < bound
 
 
 def test_observation(benchmark):
-    """Each token of a stream is observed."""
+    """One observation is made for each token of a stream."""
     metrics = Metrics("entry")
     team, request_class = TeamId("tisza"), ClassName("draft")
     benchmark(metrics.observe, Measure.BETWEEN_TOKENS, team, request_class, 0.02)
-    assert benchmark.stats.stats.median < OBSERVATION_BOUND
+    assert benchmark.stats.stats.median < OBSERVATION_BOUND_SECONDS
 
 
 def test_log_line(benchmark):
-    """Each request leaves a line."""
+    """One record is logged for each request."""
     root = logging.getLogger()
     handlers, level = root.handlers[:], root.level
     set_up_logging(LogLevel.INFO, "entry", HostId("e1"), io.StringIO())
@@ -71,4 +74,4 @@
     benchmark(lambda: logging.getLogger("x").info("request ended", extra=extra))
     root.handlers[:] = handlers
     root.setLevel(level)
-    assert benchmark.stats.stats.median < LOG_LINE_BOUND
+    assert benchmark.stats.stats.median < LOG_LINE_BOUND_SECONDS
--- a/benchmarks/bench_publish.py
+++ b/benchmarks/bench_publish.py
@@ -1,8 +1,8 @@
-"""Time and bytes from submission to in force, and the cost of idle subscribers.
+"""Measures time and traffic to put a document in force, and idle subscriber traffic.
 
-One control replica and its stand-in subscribers share this process and its loop, so
-the times hold the work of both ends. Run with ``python -m benchmarks.bench_publish``;
-it fails when a bound is broken.
+One control replica and its simulated subscribers share this process and its event
+loop, so the times include the work of both ends. Run with
+``python -m benchmarks.bench_publish``; it exits with status 1 if a bound is exceeded.
 """
 
 import asyncio
@@ -34,22 +34,22 @@
 CLOCK = SystemClock()
 LOOPBACK = ListenSettings(Endpoint("127.0.0.1", 0))
 
-#: Bounds. A further subscriber's time is counted in parses of the document, measured
-#: between the sizes: on a busy machine both get slower alike, so that the bound finds
-#: work that was added and not the neighbours' load.
-MAX_PARSES_A_SUBSCRIBER = 3.0
+#: Bounds. The time per additional subscriber is expressed in parses of the document,
+#: which are measured between the sizes: other load on the machine slows both alike, so
+#: that the bound detects added work and not that load.
+MAX_PARSES_PER_SUBSCRIBER = 3.0
 MAX_MILLISECONDS_AT_200 = 2000.0
-MAX_BYTES_A_SUBSCRIBER = 6000
-MAX_IDLE_BYTES_A_SECOND = 1000.0
+MAX_BYTES_PER_SUBSCRIBER = 6000
+MAX_IDLE_BYTES_PER_SECOND = 1000.0
 
 
 @dataclass(frozen=True)
 class Measure:
-    """One size's result.
+    """Result for one number of subscribers.
 
-    :param milliseconds: median from sending the submission until it is in force.
-    :param bytes_each: on the wire, both ways, for one change and one subscriber.
-    :param idle_bytes: a second and subscriber, both ways, while nothing changes.
+    :ivar milliseconds: median time from sending a submission until it is in force.
+    :ivar bytes_each: bytes in both directions for one change and one subscriber.
+    :ivar idle_bytes: bytes per second and subscriber in both directions while idle.
     """
 
     subscribers: int
@@ -58,8 +58,8 @@
     idle_bytes: float
 
 
-class StandIn:
-    """Follows the control state as entries and agents do."""
+class SimulatedSubscriber:
+    """Subscribes to the control state as entry hosts and agents do."""
 
     def __init__(self, name: str, link: Link) -> None:
         self._host = HostId(name)
@@ -73,7 +73,7 @@
 
     @property
     def bytes(self) -> int:
-        """Bytes of frames, both ways."""
+        """Return the bytes sent and received in frames."""
         return self.link.sent_bytes + self.link.received_bytes
 
     async def _follow(self) -> None:
@@ -83,20 +83,20 @@
                 before = self._catalog.index
                 self._catalog.apply(message)
                 if self._catalog.index > before:
-                    self._report()
+                    self._report_in_force()
 
     async def _report_regularly(self) -> None:
         while True:
-            self._report()
+            self._report_in_force()
             await asyncio.sleep(REPORT_INTERVAL)
 
-    def _report(self) -> None:
+    def _report_in_force(self) -> None:
         self._number += 1
         self.link.send(ReportInForce(self._host, self._catalog.index, self._number))
 
 
 async def start_control(folder: Path) -> tuple[ControlServer, Endpoints]:
-    """Start a replica that keeps its log in memory."""
+    """Start a control replica whose log is in memory."""
     name = ReplicaId("c1")
     settings = ControlSettings(
         name,
@@ -116,7 +116,7 @@
 async def call(
     connection: ClientConnection, method: str, target: str, body=b""
 ) -> dict:
-    """Return the JSON that the operators' interface answers."""
+    """Return the JSON response of the operator interface."""
     answer = await connection.ask(method, target, (), body)
     data = await answer.read()
     if answer.status != 200:
@@ -125,7 +125,7 @@
 
 
 def write_document(revision: int) -> bytes:
-    """Return a document with 100 adapters, some 3 KB."""
+    """Return a service document with 100 adapters, of about 3 KB."""
     adapters = "".join(f"adapter-{n} = 1 2 3\n" for n in range(100))
     return (
         "[service]\nname = mester\nteam = halo\nkind = engine\nmodel = org/base\n"
@@ -148,38 +148,38 @@
 
 
 async def measure(subscribers: int, folder: Path) -> Measure:
-    """Measure one size on a fresh replica."""
+    """Measure one number of subscribers on a new replica."""
     server, endpoints = await start_control(folder)
     connection = await ClientConnection.open(endpoints.operators)
-    holders = []
+    clients = []
     for number in range(subscribers):
         hello = Hello(Role.ENTRY, HostId(f"e{number}"))
         link = await dial(endpoints.links, hello, CLOCK, CONTROL_PACE)
-        holders.append(StandIn(hello.host, link))
+        clients.append(SimulatedSubscriber(hello.host, link))
     await submit(connection, 0)
-    before = sum(holder.bytes for holder in holders)
+    before = sum(client.bytes for client in clients)
     seconds = [await submit(connection, base) for base in range(1, ROUNDS + 1)]
-    moved = sum(holder.bytes for holder in holders) - before
+    transferred = sum(client.bytes for client in clients) - before
     await asyncio.sleep(0.5)
-    before = sum(holder.bytes for holder in holders)
+    before = sum(client.bytes for client in clients)
     await asyncio.sleep(IDLE_SECONDS)
-    idle = sum(holder.bytes for holder in holders) - before
-    for holder in holders:
-        for task in holder.tasks:
+    idle = sum(client.bytes for client in clients) - before
+    for client in clients:
+        for task in client.tasks:
             task.cancel()
-        await holder.link.close()
+        await client.link.close()
     connection.close()
     await server.stop()
     return Measure(
         subscribers,
         statistics.median(seconds) * 1000,
-        moved / ROUNDS / subscribers,
+        transferred / ROUNDS / subscribers,
         idle / IDLE_SECONDS / subscribers,
     )
 
 
 def measure_parse() -> float:
-    """Return the milliseconds that a holder takes to parse the document."""
+    """Return the median milliseconds that parsing the document takes."""
     text = write_document(1).decode()
     seconds = []
     for _ in range(PARSES):
@@ -190,7 +190,7 @@
 
 
 def find_slope(results: list[Measure]) -> float:
-    """Return milliseconds that each further subscriber costs, by least squares."""
+    """Return the milliseconds per additional subscriber, by least squares."""
     slope, _ = statistics.linear_regression(
         [float(result.subscribers) for result in results],
         [result.milliseconds for result in results],
@@ -199,26 +199,28 @@
 
 
 def check(results: list[Measure], parse: float) -> list[str]:
-    """Return the bounds that are broken.
+    """Return a message for each bound that is exceeded.
 
-    :param parse: milliseconds of one parse of the document.
+    :param parse: milliseconds that one parse of the document takes.
     """
-    broken = []
+    exceeded = []
     if results[-1].milliseconds > MAX_MILLISECONDS_AT_200:
-        broken.append(f"in force after {results[-1].milliseconds:.0f} ms")
+        exceeded.append(f"change in force after {results[-1].milliseconds:.0f} ms")
     parses = find_slope(results) / parse
-    if parses > MAX_PARSES_A_SUBSCRIBER:
-        broken.append(f"{parses:.1f} parses a subscriber")
+    if parses > MAX_PARSES_PER_SUBSCRIBER:
+        exceeded.append(f"{parses:.1f} parses per additional subscriber")
     for result in results:
-        if result.bytes_each > MAX_BYTES_A_SUBSCRIBER:
-            broken.append(f"{result.bytes_each:.0f} bytes a subscriber")
-        if result.idle_bytes > MAX_IDLE_BYTES_A_SECOND:
-            broken.append(f"{result.idle_bytes:.0f} idle bytes a second")
-    return broken
+        if result.bytes_each > MAX_BYTES_PER_SUBSCRIBER:
+            exceeded.append(f"{result.bytes_each:.0f} bytes per change and subscriber")
+        if result.idle_bytes > MAX_IDLE_BYTES_PER_SECOND:
+            exceeded.append(
+                f"{result.idle_bytes:.0f} idle bytes per second and subscriber"
+            )
+    return exceeded
 
 
 async def run() -> tuple[list[Measure], float]:
-    """Return the measures of all sizes, and the milliseconds of one parse."""
+    """Return the results for all sizes, and the mean milliseconds of one parse."""
     parses = [measure_parse()]
     results = []
     with tempfile.TemporaryDirectory() as folder:
@@ -229,15 +231,15 @@
 
 
 def main() -> None:
-    """Print the results as JSON lines and end with 1 when a bound is broken."""
+    """Print the results as JSON lines and exit with status 1 if a bound is exceeded."""
     results, parse = asyncio.run(run())
     for result in results:
         print(json.dumps(asdict(result)))
     slope = find_slope(results)
     print(json.dumps({"milliseconds_a_subscriber": slope, "parse": parse}))
-    broken = check(results, parse)
-    if broken:
-        sys.exit("; ".join(broken))
+    exceeded = check(results, parse)
+    if exceeded:
+        sys.exit("; ".join(exceeded))
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_restart.py
+++ b/benchmarks/bench_restart.py
@@ -1,8 +1,8 @@
-"""Time from start to serving after few and after many changes.
+"""Measures the time from start to serving against the length of the history.
 
-Run with ``python -m benchmarks.bench_restart [FOLDER]``; it prints JSON and ends with
-status 1 when the time with snapshots grows with the number of changes. The time holds
-a short election, which is the same for all.
+Run with ``python -m benchmarks.bench_restart [FOLDER]``; it prints JSON and exits with
+status 1 if the time with snapshots grows with the number of changes. The time includes
+a short election, which takes equally long for all sizes.
 """
 
 import asyncio
@@ -16,18 +16,19 @@
 
 from benchmarks.lone_log import make_command, open_log, propose_all
 
-CHANGES = (500, 5_000, 50_000)
-BATCH = 500
+CHANGE_COUNTS = (500, 5_000, 50_000)
+PROPOSALS_PER_BATCH = 500
 ROUNDS = 5
 SNAPSHOT_ENTRIES = 1_000
 NO_SNAPSHOTS = 1_000_000
 
-#: Most that the largest history may cost against the smallest, with snapshots.
-FLAT_BOUND = 3.0
+#: Maximum restart time after the most changes, with snapshots, as a multiple of that
+#: after the fewest.
+MAX_GROWTH = 3.0
 
 
 class Restart(msgspec.Struct):
-    """Restart after a number of changes, in milliseconds and bytes on the disk."""
+    """Restart times in milliseconds, and bytes on disk, after a number of changes."""
 
     changes: int
     with_snapshots: float
@@ -37,7 +38,7 @@
 
 
 class Report(msgspec.Struct):
-    """All sizes, and what the largest costs against the smallest."""
+    """Results for all sizes, and the ratios of the largest to the smallest."""
 
     restarts: list[Restart]
     ratio: float
@@ -46,36 +47,51 @@
 
 
 async def measure_restart(folder: Path, changes: int, snapshots: int) -> float:
-    """Return the median milliseconds of a start after a number of changes."""
+    """Return the median milliseconds of a start after a number of changes.
+
+    :param snapshots: entries after which a snapshot is taken.
+    """
     async with open_log(folder, snapshots) as (replica, _):
-        for start in range(0, changes, BATCH):
-            numbers = range(start, min(changes, start + BATCH))
+        for start in range(0, changes, PROPOSALS_PER_BATCH):
+            numbers = range(start, min(changes, start + PROPOSALS_PER_BATCH))
             await propose_all(replica, [make_command(number) for number in numbers])
-    found = []
+    durations = []
     for _ in range(ROUNDS):
-        begun = time.perf_counter()
+        start_time = time.perf_counter()
         async with open_log(folder, snapshots) as (_, machine):
-            found.append(1000 * (time.perf_counter() - begun))
+            durations.append(1000 * (time.perf_counter() - start_time))
             if machine.applied != changes:
-                raise SystemExit(f"{machine.applied} of {changes} changes were found")
-    return statistics.median(found)
+                raise SystemExit(
+                    f"{machine.applied} of {changes} changes were recovered from disk"
+                )
+    return statistics.median(durations)
 
 
 async def measure(folder: Path) -> Report:
-    """Measure all sizes with and without snapshots."""
+    """Measure all sizes with and without snapshots.
+
+    :param folder: directory for the logs.
+    """
     restarts = []
-    for changes in CHANGES:
-        on, off = folder / f"on-{changes}", folder / f"off-{changes}"
+    for changes in CHANGE_COUNTS:
+        with_folder, without_folder = (
+            folder / f"on-{changes}",
+            folder / f"off-{changes}",
+        )
         times = (
-            await measure_restart(on, changes, SNAPSHOT_ENTRIES),
-            await measure_restart(off, changes, NO_SNAPSHOTS),
+            await measure_restart(with_folder, changes, SNAPSHOT_ENTRIES),
+            await measure_restart(without_folder, changes, NO_SNAPSHOTS),
+        )
+        restarts.append(
+            Restart(
+                changes, *times, _count_bytes(with_folder), _count_bytes(without_folder)
+            )
         )
-        restarts.append(Restart(changes, *times, _count_bytes(on), _count_bytes(off)))
     first, last = restarts[0], restarts[-1]
     ratio = last.with_snapshots / first.with_snapshots
     exceeded = []
-    if ratio > FLAT_BOUND:
-        exceeded.append(f"restart grows {ratio:.1f} times, more than {FLAT_BOUND}")
+    if ratio > MAX_GROWTH:
+        exceeded.append(f"restart time grows {ratio:.1f} times, more than {MAX_GROWTH}")
     return Report(restarts, ratio, last.without / first.without, exceeded)
 
 
@@ -84,7 +100,7 @@
 
 
 def main() -> None:
-    """Measure, print, and fail when a bound is exceeded."""
+    """Print the report as JSON and exit with status 1 if a bound is exceeded."""
     parent = sys.argv[1] if len(sys.argv) > 1 else None
     with tempfile.TemporaryDirectory(dir=parent) as folder:
         report = asyncio.run(measure(Path(folder)))
--- a/benchmarks/bench_start.py
+++ b/benchmarks/bench_start.py
@@ -1,8 +1,9 @@
-"""Processor time of a start: an empty interpreter, its libraries, each program.
+"""Measures CPU time of a start: empty interpreter, libraries only, each program.
 
-Run with ``python -m benchmarks.bench_start``; it prints JSON and ends with status 1
-when our own modules add more to a start than half of what the libraries take. After a
-fall all programs of a host start on the same core, and nobody is served meanwhile.
+Run with ``python -m benchmarks.bench_start``; it prints JSON and exits with status 1
+if the modules of this project add more to a start than half of what the libraries
+take. After a crash of a host all its programs start on the same core, and requests
+are not served until they have started.
 """
 
 import os
@@ -18,7 +19,7 @@
 SOURCES = Path(__file__).resolve().parents[1] / "src"
 ROUNDS = 9
 
-#: What all programs import that isn't ours.
+#: Third-party and standard modules that all programs import.
 LIBRARIES = (
     "aioprometheus",
     "asyncio",
@@ -45,15 +46,15 @@
     ),
 }
 
-#: Most that a program may take against its libraries alone.
-OWN_BOUND = 1.5
+#: Maximum CPU time of a program, as a multiple of that of the libraries alone.
+MAX_RATIO = 1.5
 
 
 class Report(msgspec.Struct):
-    """Milliseconds of processor time, and ratios.
+    """Milliseconds of CPU time, and ratios.
 
-    :param ratios: of each program to the libraries.
-    :param whole: of each program to an empty interpreter.
+    :ivar ratios: CPU time of each program relative to the libraries.
+    :ivar whole: CPU time of each program relative to an empty interpreter.
     """
 
     empty: float
@@ -65,42 +66,43 @@
 
 
 def measure_imports(modules: tuple[str, ...]) -> float:
-    """Return the median milliseconds of a process that imports modules and ends."""
+    """Return the median CPU milliseconds of a process that only imports modules."""
     code = "".join(f"import {module}\n" for module in modules)
-    found = []
-    with tempfile.TemporaryDirectory() as compiled:
-        # as built: the first of these processes compiles, the others load
-        own = {"PYTHONPATH": str(SOURCES), "PYTHONPYCACHEPREFIX": compiled}
-        environment = os.environ | own
+    durations = []
+    with tempfile.TemporaryDirectory() as cache_folder:
+        # As in a built installation: the first process writes the bytecode cache and
+        # isn't counted, the others load from it.
+        overrides = {"PYTHONPATH": str(SOURCES), "PYTHONPYCACHEPREFIX": cache_folder}
+        environment = os.environ | overrides
         environment.pop("PYTHONDONTWRITEBYTECODE", None)
         for _ in range(1 + ROUNDS):
-            before = _read_children()
+            before = _read_children_cpu()
             subprocess.run([sys.executable, "-c", code], env=environment, check=True)
-            found.append(1000 * (_read_children() - before))
-    return statistics.median(found[1:])
+            durations.append(1000 * (_read_children_cpu() - before))
+    return statistics.median(durations[1:])
 
 
 def measure() -> Report:
-    """Measure all programs."""
+    """Measure the empty interpreter, the libraries and all programs."""
     empty, libraries = measure_imports(()), measure_imports(LIBRARIES)
-    programs = {name: measure_imports(found) for name, found in PROGRAMS.items()}
-    ratios = {name: found / libraries for name, found in programs.items()}
+    programs = {name: measure_imports(modules) for name, modules in PROGRAMS.items()}
+    ratios = {name: duration / libraries for name, duration in programs.items()}
     exceeded = [
-        f"{name} takes {ratio:.2f} times its libraries, more than {OWN_BOUND}"
+        f"{name} takes {ratio:.2f} times its libraries' time, more than {MAX_RATIO}"
         for name, ratio in ratios.items()
-        if ratio > OWN_BOUND
+        if ratio > MAX_RATIO
     ]
-    whole = {name: found / empty for name, found in programs.items()}
+    whole = {name: duration / empty for name, duration in programs.items()}
     return Report(empty, libraries, programs, ratios, whole, exceeded)
 
 
-def _read_children() -> float:
+def _read_children_cpu() -> float:
     usage = resource.getrusage(resource.RUSAGE_CHILDREN)
     return usage.ru_utime + usage.ru_stime
 
 
 def main() -> None:
-    """Measure, print, and fail when the bound is exceeded."""
+    """Print the report as JSON and exit with status 1 if a bound is exceeded."""
     report = measure()
     print(msgspec.json.format(msgspec.json.encode(report)).decode())
     sys.exit(1 if report.exceeded else 0)
--- a/benchmarks/lone_log.py
+++ b/benchmarks/lone_log.py
@@ -1,4 +1,4 @@
-"""A replicated log of one replica on a real disk, for benchmarks."""
+"""Opens a replicated log with a single replica and data on disk, for benchmarks."""
 
 import asyncio
 import contextlib
@@ -23,35 +23,39 @@
 HOST = HostId("one")
 TIMING = Timing(heartbeat=2, election=10)
 
-#: Services whose documents the changes replace, one after another.
+#: Services whose documents the changes replace, in rotation.
 SERVICES = 100
 
 
 class DocumentTable:
-    """The latest text of each service, which is what a snapshot has to hold."""
+    """State machine that holds the latest document of each service.
+
+    :ivar texts: documents by service number; a snapshot consists of these.
+    :ivar applied: number of changes applied so far.
+    """
 
     def __init__(self) -> None:
         self.texts: dict[int, bytes] = {}
         self.applied = 0
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Replace the text of one service."""
+        """Replace the document of one service."""
         self.texts[self.applied % SERVICES] = command
         self.applied += 1
         return b""
 
     def capture(self) -> bytes:
-        """Return all texts."""
+        """Return a snapshot of the state."""
         return msgspec.msgpack.encode((self.applied, self.texts))
 
     def restore(self, data: bytes) -> None:
-        """Take all texts."""
-        kind = tuple[int, dict[int, bytes]]
-        self.applied, self.texts = msgspec.msgpack.decode(data, type=kind)
+        """Replace the state by that of a snapshot."""
+        snapshot_type = tuple[int, dict[int, bytes]]
+        self.applied, self.texts = msgspec.msgpack.decode(data, type=snapshot_type)
 
 
 def make_command(number: int) -> bytes:
-    """Return a change of about the size of a small document."""
+    """Return a change of about the size of a small service document."""
     return b"%d " % number + b"x" * 400
 
 
@@ -59,7 +63,10 @@
 async def open_log(
     folder: Path, snapshot_entries: int = 1000
 ) -> AsyncIterator[tuple[LogReplica, DocumentTable]]:
-    """Yield a replica that leads and has applied all that its disk holds."""
+    """Yield a replica that is leader and has applied all entries in its data folder.
+
+    :param snapshot_entries: entries after which a snapshot is taken.
+    """
     machine = DocumentTable()
     clock = SystemClock()
     replica = LogReplica(
@@ -84,5 +91,5 @@
 
 
 async def propose_all(replica: LogReplica, commands: Sequence[bytes]) -> None:
-    """Propose commands at once and wait for all."""
+    """Propose commands concurrently and wait until all are committed."""
     await asyncio.gather(*(replica.propose(command) for command in commands))
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,7 +1,7 @@
-"""A bare h11 pass-through: the floor that the path of a request is measured against.
+"""A minimal HTTP pass-through on h11, the baseline for the cost of a request.
 
-One process, one connection to the target for each caller's connection, nothing
-decided and nothing checked.
+It runs in one process, opens one connection to the target for each connection of a
+caller, and neither routes nor validates requests.
 """
 
 import asyncio
@@ -13,24 +13,24 @@
 READ_SIZE = 64 * 1024
 
 
-async def _pass_message(
+async def _forward_message(
     source: h11.Connection,
     reader: asyncio.StreamReader,
-    sink: h11.Connection,
+    destination: h11.Connection,
     writer: asyncio.StreamWriter,
 ) -> bool:
     pending = b""
     while True:
         event = source.next_event()
         if event is h11.NEED_DATA:
-            # What came in one read leaves in one write
+            # Write the data of one read in one write.
             writer.write(pending)
             pending = b""
             source.receive_data(await reader.read(READ_SIZE))
             continue
         if isinstance(event, h11.ConnectionClosed):
             return False
-        pending += sink.send(event) or b""
+        pending += destination.send(event) or b""
         if isinstance(event, h11.EndOfMessage):
             writer.write(pending)
             await writer.drain()
@@ -40,18 +40,18 @@
 async def _serve(
     port: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    far_reader, far_writer = await asyncio.open_connection("127.0.0.1", port)
+    target_reader, target_writer = await asyncio.open_connection("127.0.0.1", port)
     caller, target = h11.Connection(h11.SERVER), h11.Connection(h11.CLIENT)
     try:
-        while await _pass_message(caller, reader, target, far_writer):
-            await _pass_message(target, far_reader, caller, writer)
+        while await _forward_message(caller, reader, target, target_writer):
+            await _forward_message(target, target_reader, caller, writer)
             caller.start_next_cycle()
             target.start_next_cycle()
     except (ConnectionError, h11.ProtocolError):
         pass
     finally:
         writer.close()
-        far_writer.close()
+        target_writer.close()
 
 
 async def _main(target_port: int, port_file: Path) -> None:
@@ -63,5 +63,5 @@
 
 
 def main() -> None:
-    """Pass through to the port given first; write the own one to the file."""
+    """Serve; arguments are the port of the target and a file for the own port."""
     asyncio.run(_main(int(sys.argv[1]), Path(sys.argv[2])))
--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -1,7 +1,8 @@
-"""Take each guard out, one at a time, and see its tests fail.
+"""Checks that the tests of each guard in the sources fail when it is removed.
 
-Run with ``python -m benchmarks.red_runs``; it works on a copy of the tree, prints a
-line for each guard, and ends with status 1 when a test stays green without its guard.
+Run with ``python -m benchmarks.red_runs``; it removes one guard at a time in a copy of
+the tree, prints a line for each, and exits with status 1 if no test of a guard fails
+without it.
 """
 
 import shutil
@@ -16,19 +17,21 @@
 __all__ = ["GUARDS", "Guard", "main"]
 
 ROOT = Path(__file__).resolve().parents[1]
-COPIED = ("src", "tests", "benchmarks", "demo", "pyproject.toml")
+COPIED_PATHS = ("src", "tests", "benchmarks", "demo", "pyproject.toml")
 
-#: Seconds for the tests of one guard; one that hangs without its guard counts as red.
-LIMIT = 120
+#: Seconds for the tests of one guard; a test that hangs without its guard has failed.
+TIMEOUT_SECONDS = 120
 
 
 @dataclass(frozen=True)
 class Guard:
-    """A guard and how to take it out.
+    """A safety check in the sources and the edit that removes it.
 
-    :param old: text of the guard, which stands once in the file.
-    :param new: what stands there without it.
-    :param tests: what must fail then.
+    :ivar name: description, by which a guard is selected on the command line.
+    :ivar file: path of its file, relative to the package.
+    :ivar old: text of the guard, which occurs exactly once in the file.
+    :ivar new: text that replaces it.
+    :ivar tests: tests of which one must fail without the guard.
     """
 
     name: str
@@ -47,14 +50,14 @@
 
 GUARDS = (
     Guard(
-        "an order isn't sent under a grant that was given up",
+        "an order is not sent under a claim grant that was given up",
         "entry/claims.py",
         "if answer.generation > given_up:",
         "if True:",
         (f"{CLAIMS}::test_an_order_is_not_sent_under_a_grant_that_was_given_up",),
     ),
     Guard(
-        "an earlier answer about a claim is none to the next ask",
+        "an answer to an earlier claim request does not answer the next one",
         "subscription.py",
         'return f"question/{message.question}"',
         'return f"question/{message.request}"',
@@ -64,7 +67,7 @@
         ),
     ),
     Guard(
-        "an answer to an earlier life of a replica is none to this one",
+        "an answer to an earlier run of a replica is ignored",
         "control/replica.py",
         "Answers(draw(NUMBERS))",
         "Answers(0)",
@@ -74,7 +77,7 @@
         ),
     ),
     Guard(
-        "runs without answers leave their places in the batch",
+        "attempts whose answers were lost release their batch slots",
         "agent/scheduler.py",
         "return stream_idle or overdue or attempt",
         "return stream_idle or attempt",
@@ -84,7 +87,7 @@
         ),
     ),
     Guard(
-        "a stream whose text is whole is completed",
+        "a stream that fell silent after its last token is completed",
         "agent/scheduler.py",
         "if attempt.finish_stream():",
         "if False:",
@@ -94,14 +97,14 @@
         ),
     ),
     Guard(
-        "haste in elections deposes nobody",
+        "an early election does not depose a leader",
         "control/election.py",
         "    if _hears_leader(state) and not request.transfer:",
         "    if False:",
         ("tests/test_consensus.py::test_haste_leaves_a_leader_alone",),
     ),
     Guard(
-        "loads that wait at an engine without its model count",
+        "loads queued at an engine without its model are counted",
         "decisions/choice.py",
         "return adapter.model_wait + _estimate_load_delay(adapter, rank)",
         "return adapter.model_wait + LOAD_DELAY",
@@ -111,21 +114,21 @@
         ),
     ),
     Guard(
-        "run time isn't counted against an engine that answers a batch",
+        "run time is not counted for an engine that runs requests in batches",
         "decisions/choice.py",
         "    if need.weights is None:\n        # An engine runs",
         "    if True:\n        # An engine runs",
         ("tests/decisions/test_choice.py::test_busy_engine_with_adapter_is_preferred",),
     ),
     Guard(
-        "loads at once follow the store",
+        "concurrent loads follow the speed of the store",
         "decisions/loadpace.py",
         "if seconds > SLOW_RATIO * self._median:",
         "if False:",
         ("tests/decisions/test_loadpace.py::test_concurrent_loads_follow_store_speed",),
     ),
     Guard(
-        "what helps most callers is loaded first",
+        "the adapter that serves most callers is loaded first",
         "decisions/residents.py",
         "key=lambda d: (d.served, d.due)",
         "key=lambda d: (0, -d.due)",
@@ -137,14 +140,14 @@
         ),
     ),
     Guard(
-        "what waits to be accepted at a planned stop is taken",
+        "connections in the backlog are accepted at a planned stop",
         "web.py",
         "        waiting = _accept_waiting(self._listener)\n",
         "        waiting = []\n",
         ("tests/test_web.py::test_a_request_that_came_before_a_stop_is_answered",),
     ),
     Guard(
-        "a request that nobody waits for is reset",
+        "an abandoned request is reset",
         "gateway/connection.py",
         "            if self._in_exchange:\n                reset",
         "            if False:\n                reset",
@@ -154,7 +157,7 @@
         ),
     ),
     Guard(
-        "a host that stands still is passed over",
+        "an unresponsive host is not chosen",
         "gateway/tracker.py",
         "(steward_unresponsive and not self.is_responsive(stats, now)),\n",
         "False,\n",
@@ -164,7 +167,7 @@
         ),
     ),
     Guard(
-        "nothing is sent to a host that stands still",
+        "no request is sent to an unresponsive host",
         "gateway/choosing.py",
         "and adapter.resident\n            and self._is_engine_responsive(target)",
         "and adapter.resident",
@@ -174,7 +177,7 @@
         ),
     ),
     Guard(
-        "an engine of another service isn't named",
+        "an engine of another service is not named",
         "steward/naming.py",
         "        if not _serves(state, service.engine):\n",
         "        if False:\n",
@@ -184,35 +187,35 @@
         ),
     ),
     Guard(
-        "pinned slots stay",
+        "a pinned adapter is not evicted",
         "agent/slots.py",
         "if slot.pins or slot.orphaned_pins:",
         "if False:",
         (f"{SLOTS}::test_pinned_adapter_is_not_evicted",),
     ),
     Guard(
-        "a pin lingers until the engine shows its end",
+        "a pin is held until the engine reports that the request ended",
         "agent/slots.py",
         "        if not ended:\n",
         "        if False:\n",
         (f"{SLOTS}::test_disconnected_caller_doesnt_release_the_adapter",),
     ),
     Guard(
-        "one sample doesn't end a lingering pin",
+        "one sample is not enough to release a pin",
         "agent/slots.py",
         "RELEASE_SAMPLES = 2",
         "RELEASE_SAMPLES = 1",
         (f"{SLOTS}::test_disconnected_caller_doesnt_release_the_adapter",),
     ),
     Guard(
-        "a restarted agent pins what it finds",
+        "a restarted agent pins resident adapters",
         "agent/slots.py",
         "_Slot(SlotState.RESIDENT, orphaned_pins=1, last_used=now)",
         "_Slot(SlotState.RESIDENT, last_used=now)",
         (f"{SLOTS}::test_restarted_agent_pins_resident_adapters",),
     ),
     Guard(
-        "a load of a former boot counts for nothing",
+        "a load of an earlier boot is ignored",
         "agent/slots.py",
         "slot = self._slots.get(key)\n        if boot != self.boot or slot is None:\n"
         "            return\n        if loaded:",
@@ -221,14 +224,14 @@
         (f"{SLOTS}::test_load_of_an_earlier_boot_is_ignored",),
     ),
     Guard(
-        "an answer names the adapter that was asked for",
+        "an answer must name the requested adapter",
         "agent/runner.py",
         "if answer.status == 200 and not _matches_adapter(attempt, payload):",
         "if False:",
         ("tests/agent/test_runner.py::test_answer_of_another_model_is_not_delivered",),
     ),
     Guard(
-        "an attempt that was given up never runs",
+        "an attempt with a tombstone never runs",
         "agent/gate.py",
         "if admitted is False:",
         "if False:",
@@ -249,14 +252,14 @@
         (f"{GATE}::test_gate_decides",),
     ),
     Guard(
-        "a leaving target refuses",
+        "a draining target refuses dispatches",
         "agent/gate.py",
         "if state.draining:",
         "if False:",
         (f"{GATE}::test_gate_decides",),
     ),
     Guard(
-        "an old document is refused and replaced",
+        "a dispatch with an outdated document is refused",
         "agent/gate.py",
         "if document is not None and dispatch.revision < document.revision:",
         "if False and document is not None:",
@@ -266,28 +269,28 @@
         ),
     ),
     Guard(
-        "no lease on either side, no run",
+        "no attempt runs without a lease on either side",
         "agent/gate.py",
         "if unconfirmed_run and state.unconfirmed is Unconfirmed.REFUSE:",
         "if False:",
         (f"{GATE}::test_gate_decides",),
     ),
     Guard(
-        "a new agent proves nothing",
+        "a new agent does not vouch for the previous one",
         "agent/reception.py",
         "elif self._is_own(resume.incarnation) and self._gate.add_tombstone(key):",
         "elif self._gate.add_tombstone(key):",
         (f"{PROMISES}::test_new_agent_doesnt_vouch_for_the_one_before",),
     ),
     Guard(
-        "a revision never goes down",
+        "a document revision never decreases",
         "catalog.py",
         "if held is not None and held.record.revision >= record.revision:",
         "if False:",
         ("tests/test_catalog.py::test_revision_never_goes_down",),
     ),
     Guard(
-        "a lease counts from the asking",
+        "a lease starts when the report is sent",
         "catalog.py",
         "min(sent, now) + publish.lease",
         "now + publish.lease",
@@ -301,7 +304,7 @@
         (f"{PROMISES}::test_stream_outlives_its_link",),
     ),
     Guard(
-        "frames that came are not delivered again",
+        "frames are delivered once",
         "session.py",
         "if frame.sequence >= self.next_sequence:\n"
         "            self._early.setdefault(frame.sequence, frame)\n        ready = []",
@@ -309,35 +312,35 @@
         ("tests/test_session.py::test_frames_come_once_and_in_order",),
     ),
     Guard(
-        "doubt belongs to the request",
+        "an unknown outcome is remembered for the whole request",
         "entry/dispatching.py",
         "job.doubtful |= ended.outcome is Outcome.UNKNOWN",
         "pass",
         (f"{PROMISES}::test_request_that_ran_once_is_never_told_as_not_run",),
     ),
     Guard(
-        "a cancelled attempt is asked for its verdict",
+        "the outcome of a cancelled attempt is requested",
         "entry/dispatching.py",
         "                    if isinstance(event, NotRun):\n",
         "                    if False:\n",
         (f"{PROMISES}::test_request_that_waited_until_its_deadline",),
     ),
     Guard(
-        "a request that becomes protected takes a claim",
+        "a request that becomes non-idempotent takes a claim",
         "entry/dispatching.py",
         "                if not job.resolved.request_class.idempotent:\n",
         "                if False:\n",
         (f"{PROMISES}::test_request_that_becomes_protected",),
     ),
     Guard(
-        "a protected request is claimed first",
+        "a non-idempotent request takes a claim before dispatch",
         "entry/pipeline.py",
         "else self._claimed.run",
         "else self._dispatcher.run",
         (f"{PROMISES}::test_promises_hold_under_any_schedule",),
     ),
     Guard(
-        "a planned stop finishes what runs",
+        "a planned stop completes running attempts",
         "agent/scheduler.py",
         "while self._list_unfinished() or self._has_undelivered_frames():",
         "while False:",
@@ -354,7 +357,7 @@
         ),
     ),
     Guard(
-        "asks for permits reach the leader",
+        "permit requests reach the leader",
         "control/granting.py",
         "if stays or leader is None or not self._forward(leader, ask):",
         "if True:",
@@ -383,33 +386,43 @@
 @click.command()
 @click.argument("names", nargs=-1)
 def main(names: tuple[str, ...]) -> None:
-    """Take out the guards whose names contain one of NAMES, or all."""
-    chosen = [g for g in GUARDS if not names or any(n in g.name for n in names)]
-    green = [guard for guard in chosen if not _is_red(guard)]
-    click.echo(f"{len(chosen) - len(green)} red, {len(green)} green without the guard")
-    sys.exit(bool(green))
+    """Remove each guard whose name contains one of NAMES, or each guard."""
+    selected = [
+        guard
+        for guard in GUARDS
+        if not names or any(name in guard.name for name in names)
+    ]
+    passed = [guard for guard in selected if not _is_red(guard)]
+    click.echo(
+        f"{len(selected) - len(passed)} red, {len(passed)} green without the guard"
+    )
+    sys.exit(bool(passed))
 
 
 def _is_red(guard: Guard) -> bool:
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder)
-        for name in COPIED:
+        for name in COPIED_PATHS:
             _copy(ROOT / name, copy / name)
-        _take_out(guard, copy / "src" / "ibishead" / guard.file)
+        _remove_guard(guard, copy / "src" / "ibishead" / guard.file)
         command = [sys.executable, "-m", "pytest", "-q", "-x"]
         pattern = " or ".join(test.split("::")[-1] for test in guard.tests)
         files = sorted({test.split("::")[0] for test in guard.tests})
         command += ["-k", pattern, *files]
         try:
-            done = subprocess.run(
-                command, cwd=copy, capture_output=True, text=True, timeout=LIMIT
+            result = subprocess.run(
+                command,
+                cwd=copy,
+                capture_output=True,
+                text=True,
+                timeout=TIMEOUT_SECONDS,
             )
         except subprocess.TimeoutExpired:
             click.echo(f"red (hung): {guard.name}")
             return True
-    # Status 1 is a failed test; others mean that nothing was collected or run
-    red = done.returncode == 1
-    failed = [x for x in done.stdout.splitlines() if x.startswith("FAILED")]
+    # Status 1 means a failed test; any other, that no test was collected or run.
+    red = result.returncode == 1
+    failed = [line for line in result.stdout.splitlines() if line.startswith("FAILED")]
     click.echo(f"{'red' if red else 'GREEN'}: {guard.name}: {' '.join(failed)[:110]}")
     return red
 
@@ -421,10 +434,12 @@
         shutil.copy(source, target)
 
 
-def _take_out(guard: Guard, path: Path) -> None:
+def _remove_guard(guard: Guard, path: Path) -> None:
     text = path.read_text()
     if text.count(guard.old) != 1:
-        raise click.ClickException(f"{guard.file} doesn't hold {guard.old!r} once")
+        raise click.ClickException(
+            f"{guard.file} must contain {guard.old!r} exactly once"
+        )
     path.write_text(text.replace(guard.old, guard.new))
 
 
--- a/benchmarks/stages.py
+++ b/benchmarks/stages.py
@@ -1,10 +1,10 @@
-"""Sum up, from logs of a played day, where time was spent and how requests ended.
+"""Summarizes logs of a test day: where requests spent time and how they ended.
 
 Run with ``python -m benchmarks.stages LOG [--from S] [--to S] [--late S] [--fall S]``.
-A log holds the lines of all programs, each behind the seconds of the day and the
-program's name. Three tables: requests by how they were placed, those that got no good
-answer, and the moments of events after a fall, by name; and the time until service is
-back. Each round of decisions starts from them.
+A log contains the lines of all programs, each prefixed with the seconds of the day and
+the name of the program. The output has three tables: requests by placement, requests
+without a successful answer, and times of events by name; and, with ``--fall``, the
+recovery time after a crash of all programs.
 """
 
 import json
@@ -18,14 +18,14 @@
 
 import click
 
-__all__ = ["Line", "find_return", "main", "read_lines"]
+__all__ = ["Line", "find_recovery", "main", "read_lines"]
 
-#: Requests in a row of which nine in ten must be in time for service to be back; at
-#: a hundred a second they are those of one second.
-ROW = 100
-ROW_SHARE = 0.9
+#: Number of consecutive requests, and the share of them that must be in time for the
+#: service to have recovered. At 100 requests per second they are those of one second.
+RECOVERY_WINDOW = 100
+RECOVERY_SHARE = 0.9
 
-#: Seconds of the day, name of the program, and what it wrote.
+#: Seconds of the day, name of the program, and its log record as JSON.
 _LINE = re.compile(r"\s*(-?\d+\.\d+) (\S+) (\{.*\})$")
 
 
@@ -33,7 +33,9 @@
 class Line:
     """One line of a log.
 
-    :param at: seconds of the day.
+    :ivar at: time in seconds of the day.
+    :ivar program: name of the program that logged it.
+    :ivar fields: fields of the log record.
     """
 
     at: float
@@ -42,13 +44,13 @@
 
     @property
     def event(self) -> str:
-        """The message, with what tells one kind of it from another."""
+        """Return the message, with the fields that distinguish kinds of it."""
         fields = self.fields
         match fields["message"]:
             case "order given":
                 what = "adapter" if fields["adapter"] else "model"
-                way = "load" if fields["load"] else "unload"
-                return f"order: {way} {what}, {fields['outcome']}"
+                operation = "load" if fields["load"] else "unload"
+                return f"order: {operation} {what}, {fields['outcome']}"
             case "request ended":
                 return f"request: {fields['outcome']} {fields['reason'][:50]}".rstrip()
             case "started" | "routes in force" as message:
@@ -58,7 +60,11 @@
 
 
 def read_lines(path: Path, first: float, last: float) -> Iterator[Line]:
-    """Return the lines of a log between two moments, in seconds of the day."""
+    """Return the lines of a log within a time range.
+
+    :param first: start of the range, in seconds of the day.
+    :param last: end of the range, exclusive, in seconds of the day.
+    """
     for text in path.read_text(encoding="utf-8").splitlines():
         found = _LINE.match(text)
         if found is None:
@@ -69,7 +75,10 @@
 
 
 def print_requests(lines: Iterable[Line], late: float) -> None:
-    """Print waits and first events of requests for engines, by how they were placed."""
+    """Print waits and times to the first event of requests to engines, by placement.
+
+    :param late: seconds to the first event above which a request is late.
+    """
     groups: dict[str, list[dict[str, Any]]] = defaultdict(list)
     for line in lines:
         if line.fields["message"] == "request ended" and line.fields["placed"]:
@@ -81,18 +90,19 @@
         waits = [fields["turn_wait"] for fields in found]
         begun = [fields for fields in found if fields["first"]]
         reads = [fields["first"] - fields["turn_wait"] for fields in begun]
-        lates = sum(fields["first"] > late for fields in begun)
+        late_count = sum(fields["first"] > late for fields in begun)
         ends = Counter(fields["outcome"] for fields in found)
         click.echo(
-            f"{placed:10s} {len(found):5d} {lates:6d}   "
-            f"{_spread(waits)}   {_spread(reads)}  {dict(ends.most_common(4))}"
+            f"{placed:10s} {len(found):5d} {late_count:6d}   "
+            f"{_quantiles(waits)}   {_quantiles(reads)}  {dict(ends.most_common(4))}"
         )
 
 
-def print_lost(lines: Iterable[Line]) -> None:
-    """Print how requests ended that got no good answer, and how far they had come.
+def print_failed(lines: Iterable[Line]) -> None:
+    """Print the outcomes of requests without a successful answer, and their progress.
 
-    Begun ones had got events. Others may have run, where a target didn't answer.
+    A begun request had received events. One that was sent may have run as well, if the
+    target did not answer.
     """
     found: Counter[tuple[str, str, str]] = Counter()
     for line in lines:
@@ -113,7 +123,7 @@
 
 
 def print_events(lines: Iterable[Line]) -> None:
-    """Print how often each event happened, and when first, at the median and last."""
+    """Print the count of each event, and its first, median and last time."""
     times: dict[str, list[float]] = defaultdict(list)
     for line in lines:
         times[line.event].append(line.at)
@@ -125,17 +135,18 @@
         )
 
 
-def find_return(
+def find_recovery(
     lines: Iterable[Line], fall: float, late: float
 ) -> tuple[float, float] | None:
-    """Return when programs started after a fall, and when service was back.
+    """Return when programs started after a crash, and when the service had recovered.
 
-    Service is back with the arrival of the first request from which nine in ten of a
-    hundred begin in time. Requests that found nobody listening aren't known.
+    The service has recovered at the arrival of the first request in time that begins a
+    window of `RECOVERY_WINDOW` requests with a share of `RECOVERY_SHARE` in time.
+    Requests whose connection was refused are not in the logs and not counted.
 
-    :param fall: seconds of the day.
-    :param late: seconds to a first event that is late.
-    :returns: seconds of the day, or none where service doesn't come back.
+    :param fall: time of the crash, in seconds of the day.
+    :param late: seconds to the first event above which a request is late.
+    :returns: both times in seconds of the day, ``None`` if the service did not recover.
     """
     started, arrivals = math.inf, []
     for line in lines:
@@ -149,39 +160,51 @@
                 arrivals.append((line.at - fields["seconds"], timely))
             case "request refused":
                 arrivals.append((line.at, False))
-    later = sorted(found for found in arrivals if found[0] >= started)
-    timely = [found for _, found in later]
-    for number in range(len(later) - ROW + 1):
-        if timely[number] and sum(timely[number : number + ROW]) >= ROW_SHARE * ROW:
-            return started, later[number][0]
+    after_start = sorted(found for found in arrivals if found[0] >= started)
+    timely = [found for _, found in after_start]
+    for number in range(len(after_start) - RECOVERY_WINDOW + 1):
+        if (
+            timely[number]
+            and sum(timely[number : number + RECOVERY_WINDOW])
+            >= RECOVERY_SHARE * RECOVERY_WINDOW
+        ):
+            return started, after_start[number][0]
     return None
 
 
-def _spread(values: list[float]) -> str:
+def _quantiles(values: list[float]) -> str:
     ordered = sorted(values) or [0.0]
-    shown = (ordered[int(len(ordered) * share)] for share in (0.5, 0.9, 0.99))
-    return " ".join(f"{value:5.2f}" for value in shown)
+    quantiles = (ordered[int(len(ordered) * share)] for share in (0.5, 0.9, 0.99))
+    return " ".join(f"{value:5.2f}" for value in quantiles)
 
 
 @click.command()
 @click.argument("log", type=click.Path(exists=True, path_type=Path))
-@click.option("--from", "first", default=-1e9, help="Seconds of the day.")
-@click.option("--to", "last", default=1e9, help="Seconds of the day.")
-@click.option("--fall", help="Seconds of the day when everything fell.", type=float)
-@click.option("--late", default=0.5, help="Seconds to a first event that is late.")
+@click.option("--from", "first", default=-1e9, help="Start, in seconds of the day.")
+@click.option("--to", "last", default=1e9, help="End, in seconds of the day.")
+@click.option(
+    "--fall", help="Seconds of the day when all programs crashed.", type=float
+)
+@click.option(
+    "--late",
+    default=0.5,
+    help="Seconds to the first event above which a request is late.",
+)
 def main(log: Path, first: float, last: float, fall: float | None, late: float) -> None:
-    """Sum up a log of a played day."""
+    """Summarize a log of a test day."""
     lines = list(read_lines(log, first, last))
     print_requests(lines, late)
     click.echo()
-    print_lost(lines)
+    print_failed(lines)
     click.echo()
     print_events(lines)
     if fall is not None:
-        match find_return(lines, fall, late):
-            case (started, back):
-                wait = back - started
-                click.echo(f"started {started:.2f}, back {back:.2f}: {wait:.2f} s")
+        match find_recovery(lines, fall, late):
+            case (started, recovered):
+                recovery = recovered - started
+                click.echo(
+                    f"started {started:.2f}, back {recovered:.2f}: {recovery:.2f} s"
+                )
             case None:
                 click.echo("service doesn't come back")
 
--- a/benchmarks/without.py
+++ b/benchmarks/without.py
@@ -1,9 +1,9 @@
-"""Starts a program with one mechanism switched off, to measure what it is worth.
+"""Starts a program with one mechanism disabled, to measure the effect of the mechanism.
 
 Run as ``python -S benchmarks/without.py MECHANISM PROGRAM ...`` in place of
-``deploy/launch.py``; `benchmarks.ablation` lays such a build. A mechanism is switched
-off by the figures and functions that it goes by, so that the programs themselves know
-nothing of switches.
+``deploy/launch.py``; `benchmarks.ablation` prepares a copy that does so. A mechanism is
+disabled by overriding the constants and functions that it depends on, so that the
+programs themselves need no switches.
 """
 
 import importlib
@@ -15,44 +15,44 @@
 
 __all__ = ["MECHANISMS", "main", "switch_off"]
 
-#: What each mechanism goes by, and what it is set to: module, name in it, value.
+#: Overrides that disable each mechanism: module, qualified name in it, and value.
 MECHANISMS: dict[str, tuple[tuple[str, str, Any], ...]] = {
-    # prompts go to an engine without turns
+    # prompts are sent to an engine without waiting for a slot in its prompt window
     "turns": (("decisions.turns", "PromptWindow.wait", lambda *_: 0.0),),
-    # every engine counts as one that reads as fast as the slowest
+    # every engine is taken to read prompts at the rate of the slowest
     "read-rate": (("decisions.readspeed", "MIN_SAMPLES", math.inf),),
-    # three loads at once, and a quarter of a second for each
+    # a fixed limit of three concurrent loads, and an estimate of 0.25 s for each
     "load-pace": (
         ("decisions.loadpace", "INITIAL_CONCURRENT_LOADS", 3.0),
         ("decisions.loadpace", "LoadPace.record", lambda *_: None),
     ),
-    # adapters are loaded in the order in which they were asked for last
+    # adapters are loaded in the order of their latest request
     "load-order": (("steward.demands", "count_served", lambda *_: 1.0),),
-    # a second copy of an adapter costs no more than a first one
+    # no extra cost is added for a further copy of an adapter
     "copy-cost": (("decisions.choice", "COPY_DELAY", 0.0),),
-    # adapters have no home
+    # adapters have no preferred engines by rendezvous hash
     "hash-order": (("decisions.choice", "HASH_RANK_DELAY", 0.0),),
-    # copies that engines have at hand count as copies in the store
+    # adapters in an engine's local cache cost as much to load as those in the store
     "at-hand": (("decisions.choice", "RELOAD_DELAY", 0.28),),
-    # loads that wait at an engine don't count
+    # loads queued at an engine are not counted
     "load-queue": (("decisions.choice", "QUEUED_LOAD_DELAY", 0.0),),
-    # targets that fail are chosen like others
+    # targets with failures are chosen like others
     "failure-share": (("decisions.choice", "FAILURE_DELAY", 0.0),),
-    # the adapter that was used last stays, however seldom it is used
+    # the least recently used adapter is evicted, regardless of its use count
     "reuse-count": (("decisions.eviction", "ReuseCounter.read", lambda *_: 0.0),),
-    # who knows no route or target yet refuses at once
+    # requests are refused at once while no route or target is known yet
     "learn-patience": (("decisions.holding", "MAX_HOLD_SECONDS", 0.0),),
-    # an engine is sent more requests than its batch has slots
+    # requests are sent to an engine beyond the slots of its batch
     "batch-slots": (("decisions.batchslots", "BatchSlots.full", False),),
-    # every receiver is sent whole route sets
+    # every subscriber is sent complete route sets instead of changes
     "route-changes": (("routing.changes", "MAX_RETAINED_SETS", 1),),
-    # requests that no engine begins wait until their deadline
+    # requests that no engine can begin in time wait until their deadline
     "refusal": (("gateway.choosing", "REFUSE_FACTOR", 1e6),),
-    # voters wait out a silence after a start
+    # voters wait for the full election timeout after a start
     "early-election": (("control.consensus", "Consensus.hasten", lambda *_: None),),
-    # engines are known once they announce themselves
+    # engines become known only when they register themselves
     "naming": (("steward.naming", "EngineNamer._is_unknown", lambda *_: False),),
-    # Ways that anybody would begin with, in place of the choice by expected delay.
+    # Common baseline policies, in place of the choice by expected delay.
     "random-choice": (
         ("decisions.choice", "estimate_delay", lambda *_: 0.0),
         ("decisions.choice", "COPY_DELAY", 0.0),
@@ -74,23 +74,24 @@
 
 
 def switch_off(mechanism: str) -> None:
-    """Set what a mechanism goes by, before the program starts.
+    """Apply the overrides of a mechanism, before the program starts.
 
+    :param mechanism: a key of `MECHANISMS`.
     :raises KeyError: there is no such mechanism.
-    :raises AttributeError: the program has no such figure or function any more.
+    :raises AttributeError: an overridden constant or function does not exist.
     """
     for module, name, value in MECHANISMS[mechanism]:
-        place: Any = importlib.import_module(f"ibishead.{module}")
-        *path, last = name.split(".")
-        for step in path:
-            place = getattr(place, step)
-        getattr(place, last)
-        setattr(place, last, value)
+        owner: Any = importlib.import_module(f"ibishead.{module}")
+        *parents, attribute = name.split(".")
+        for parent in parents:
+            owner = getattr(owner, parent)
+        getattr(owner, attribute)
+        setattr(owner, attribute, value)
 
 
 def main(arguments: Sequence[str]) -> None:
-    """Start a program without a mechanism."""
-    # a reload that comes before the program is ready must not end it
+    """Start a program with a mechanism disabled."""
+    # A reload signal that arrives before the program is ready must not terminate it.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,9 +1,9 @@
-"""The tables that sum up the logs of a played day."""
+"""Tests of the summary of a test day's logs."""
 
 import json
 
 import pytest
-from benchmarks.stages import Line, find_return, main, read_lines
+from benchmarks.stages import Line, find_recovery, main, read_lines
 from click.testing import CliRunner
 
 ENDED = {
@@ -38,11 +38,11 @@
     return path
 
 
-def test_only_lines_of_programs_within_the_time_are_read(log):
+def test_read_lines_returns_program_lines_within_the_range(log):
     assert [line.at for line in read_lines(log, 2.0, 4.0)] == [2.0, 3.0]
 
 
-def test_the_tables_name_placements_and_events(log):
+def test_tables_contain_placements_and_events(log):
     result = CliRunner().invoke(main, [str(log), "--late", "0.5"])
     assert result.exit_code == 0, result.output
     assert "absent         3      1" in result.output
@@ -59,19 +59,19 @@
 @pytest.mark.parametrize(
     ("bad", "expected"),
     [
-        # late answers up to 36 s, then one in eleven
+        # all answers are late until 36 s, then one in eleven
         (lambda n: n < 100 or n % 11 == 0, (35.0, 36.01)),
-        # one in nine is too many
+        # one late answer in nine is too many
         (lambda n: n < 100 or n % 9 == 0, None),
         (lambda _: False, (35.0, 35.0)),
     ],
 )
-def test_service_is_back_once_nine_in_ten_are_in_time(bad, expected):
+def test_service_has_recovered_once_nine_in_ten_are_in_time(bad, expected):
     lines = [
         Line(3.0, "edge-1", {"message": "started", "program": "gateway"}),
         *(_end(30 + n / 100, 0.2) for n in range(300)),
         Line(35.0, "edge-1", {"message": "started", "program": "gateway"}),
         *(_end(35 + n / 100, 0.7 if bad(n) else 0.2) for n in range(400)),
     ]
-    found = find_return(lines, 34.0, 0.5)
+    found = find_recovery(lines, 34.0, 0.5)
     assert found == (None if expected is None else pytest.approx(expected, abs=0.02))
