--- a/benchmarks/policy/__init__.py
+++ b/benchmarks/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The policy bench: the decisions under load, on a virtual clock without sockets."""
+"""Benchmark of the decision modules under load, on a virtual clock without sockets."""
--- a/benchmarks/policy/goals.py
+++ b/benchmarks/policy/goals.py
@@ -1,23 +1,23 @@
-"""The goals of the decisions and whether a run of the bench reaches them."""
+"""Goals for the decisions, and whether the measures of the benchmark reach them."""
 
 from dataclasses import dataclass
 
 from benchmarks.policy.measures import Measures
-from benchmarks.policy.model import BATCH, step_time
+from benchmarks.policy.model import BATCH_SIZE, step_time
 from benchmarks.policy.runs import Run
 from benchmarks.policy.workloads import WORKLOADS
 
-__all__ = ["Goal", "judge", "saturated_capacity"]
+__all__ = ["Goal", "evaluate_goals", "saturated_capacity"]
 
 ENGINE_COUNT = 13
-SKEWED = ("steady", "burst", "shift", "shift, slow target")
-#: Differences of a stall below this many seconds are rounding.
-ROUNDING = 0.005
+COMPARED_WORKLOADS = ("steady", "burst", "shift", "shift, slow target")
+#: Difference between two stalls, in seconds, that counts as a rounding error.
+ROUNDING_SECONDS = 0.005
 
 
 @dataclass(frozen=True)
 class Goal:
-    """One goal and what was measured."""
+    """One goal, its measured values, and whether it is reached."""
 
     name: str
     measured: str
@@ -25,51 +25,55 @@
 
 
 def saturated_capacity(adapters: float) -> float:
-    """Return the tokens a second of all engines with full batches.
+    """Return the tokens per second of all engines with full batches.
 
-    :param adapters: mean number of adapters in a batch.
+    :param adapters: mean number of different adapters in a batch.
     """
-    return ENGINE_COUNT * BATCH / step_time(BATCH, adapters)
+    return ENGINE_COUNT * BATCH_SIZE / step_time(BATCH_SIZE, adapters)
 
 
-def judge(results: dict[Run, Measures], seeds: tuple[int, ...]) -> list[Goal]:
-    """Return every goal with its measurement."""
+def evaluate_goals(results: dict[Run, Measures], seeds: tuple[int, ...]) -> list[Goal]:
+    """Return all goals with their measurements."""
 
-    def get(work: str, policy: str = "ibishead", weight: float = 0.5) -> Measures:
-        return results[Run(work, policy, seeds, stall_weight=weight)]
+    def get(workload: str, policy: str = "ibishead", weight: float = 0.5) -> Measures:
+        return results[Run(workload, policy, seeds, stall_weight=weight)]
 
     goals = []
-    for work in SKEWED:
-        ours, usual = get(work), get(work, "affinity, LRU")
-        bound = get(work, "clairvoyant, on demand")
+    for workload in COMPARED_WORKLOADS:
+        measures, affinity = get(workload), get(workload, "affinity, LRU")
+        bound = get(workload, "clairvoyant, on demand")
         for name in ("stall_p50", "stall_p99"):
-            mine = getattr(ours, name)
-            label = f"{work}: {name.replace('_', ' ')}"
+            value = getattr(measures, name)
+            label = f"{workload}: {name.replace('_', ' ')}"
             goals.append(
-                _at_most(f"{label}, half of affinity", mine, getattr(usual, name), 0.5)
+                _check_at_most(
+                    f"{label}, half of affinity", value, getattr(affinity, name), 0.5
+                )
             )
             goals.append(
-                _at_most(f"{label}, 1.3 x bound", mine, getattr(bound, name), 1.3)
+                _check_at_most(
+                    f"{label}, 1.3 x bound", value, getattr(bound, name), 1.3
+                )
             )
-    goals += [_judge_fill(work, get) for work in SKEWED]
+    goals += [_check_fill(workload, get) for workload in COMPARED_WORKLOADS]
     saturated = get("saturation")
     capacity = saturated_capacity(saturated.adapters)
-    part = saturated.goodput / capacity
+    share = saturated.goodput / capacity
     goals.append(
         Goal(
             "saturation: goodput 0.95 of capacity (full batches, same mix)",
-            f"{saturated.goodput:.0f} of {capacity:.0f}, {part:.3f}",
-            part >= 0.95,
+            f"{saturated.goodput:.0f} of {capacity:.0f}, {share:.3f}",
+            share >= 0.95,
         )
     )
-    worst = min(get(work).worst_class for work in WORKLOADS)
+    worst = min(get(workload).worst_class for workload in WORKLOADS)
     goals.append(
         Goal(
             "no class starves (0.1 of its callers served)", f"{worst:.3f}", worst > 0.1
         )
     )
-    retries = max(get(work).amplification for work in WORKLOADS)
-    goals.append(Goal("attempts at most 1.1", f"{retries:.3f}", retries <= 1.1))
+    attempts = max(get(workload).amplification for workload in WORKLOADS)
+    goals.append(Goal("attempts at most 1.1", f"{attempts:.3f}", attempts <= 1.1))
     low, high = get("shift", weight=0.0), get("shift", weight=1.0)
     goals.append(
         Goal(
@@ -82,18 +86,20 @@
     return goals
 
 
-def _at_most(name: str, mine: float, other: float, factor: float) -> Goal:
-    ratio = f", {mine / other:.2f} x" if other else ""
+def _check_at_most(name: str, value: float, reference: float, factor: float) -> Goal:
+    ratio = f", {value / reference:.2f} x" if reference else ""
     return Goal(
-        name, f"{mine:.2f} s, {other:.2f} s{ratio}", mine <= factor * other + ROUNDING
+        name,
+        f"{value:.2f} s, {reference:.2f} s{ratio}",
+        value <= factor * reference + ROUNDING_SECONDS,
     )
 
 
-def _judge_fill(work: str, get) -> Goal:
-    ours, bound = get(work), get(work, "clairvoyant, on demand")
-    part = ours.fill / bound.fill
+def _check_fill(workload: str, get) -> Goal:
+    measures, bound = get(workload), get(workload, "clairvoyant, on demand")
+    share = measures.fill / bound.fill
     return Goal(
-        f"{work}: fill 0.9 of bound",
-        f"{ours.fill:.3f}, {bound.fill:.3f}, {part:.2f} x",
-        part >= 0.9,
+        f"{workload}: fill 0.9 of bound",
+        f"{measures.fill:.3f}, {bound.fill:.3f}, {share:.2f} x",
+        share >= 0.9,
     )
--- a/benchmarks/policy/measures.py
+++ b/benchmarks/policy/measures.py
@@ -1,25 +1,30 @@
-"""The measures of a run, from what callers met."""
+"""Measures of a simulation run, from the outcomes of its requests."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from benchmarks.policy.model import BATCH
+from benchmarks.policy.model import BATCH_SIZE
 from benchmarks.policy.simulation import Result
-from benchmarks.policy.workloads import WARM_UP
+from benchmarks.policy.workloads import WARM_UP_SECONDS
 
 __all__ = ["Measures", "measure"]
 
 
 @dataclass(frozen=True)
 class Measures:
-    """Stalls and waits in seconds; parts from 0 to 1.
+    """Measures of a run: stalls and delays in seconds, shares from 0 to 1.
 
-    :param fill: mean running requests a step, as a part of the batch.
-    :param goodput: tokens a second of answers that came in time.
-    :param done: callers served in time, as a part of all.
-    :param amplification: attempts for each request that was let in.
-    :param worst_class: callers served in time, in the class that fared worst.
-    :param worst_team: the same of teams.
+    :ivar callers: number of callers; a resubmission is not a further caller.
+    :ivar fill: mean number of running requests per step, as a share of the batch.
+    :ivar adapters: mean number of different adapters in a batch.
+    :ivar goodput: tokens per second of answers that were completed in time.
+    :ivar done: share of callers served in time.
+    :ivar refused: refused requests, as a share of callers.
+    :ivar expired: requests that expired or ended late, as a share of callers.
+    :ivar failed: failed requests, as a share of callers.
+    :ivar amplification: attempts per admitted request.
+    :ivar worst_class: lowest share of callers served in time among the classes.
+    :ivar worst_team: lowest share of callers served in time among the teams.
     """
 
     callers: int
@@ -43,67 +48,70 @@
 
 
 def measure(results: Iterable[Result]) -> Measures:
-    """Return the measures over one or more runs of the same kind."""
+    """Return the measures over one or more runs with the same configuration."""
     results = list(results)
     requests = [
         item
         for result in results
         for item in result.requests
-        if WARM_UP <= item.arrival < result.duration
+        if WARM_UP_SECONDS <= item.arrival < result.duration
     ]
-    # A stall that ended without an answer is a stall all the same.
+    # Stalls of requests that ended without an answer count as well.
     stalls = sorted(item.stall for item in requests if item.outcome != "refused")
     delays = sorted(
         item.started - item.arrival for item in requests if item.started >= 0
     )
-    seconds = sum(result.duration - WARM_UP for result in results)
+    seconds = sum(result.duration - WARM_UP_SECONDS for result in results)
     steps = sum(result.steps for result in results)
-    first = [item for item in requests if not item.returns]
+    first_submissions = [item for item in requests if not item.resubmissions]
     done = [item for item in requests if item.outcome == "done"]
     in_time = [
         item
         for result in results
         for item in result.requests
-        if item.outcome == "done" and WARM_UP <= item.ended < result.duration
+        if item.outcome == "done" and WARM_UP_SECONDS <= item.ended < result.duration
     ]
 
-    def part(outcome: str) -> float:
-        return sum(item.outcome == outcome for item in requests) / len(first)
+    def share(outcome: str) -> float:
+        return sum(item.outcome == outcome for item in requests) / len(
+            first_submissions
+        )
 
     return Measures(
-        callers=len(first),
+        callers=len(first_submissions),
         stall_mean=sum(stalls) / max(len(stalls), 1),
         stall_p50=_percentile(stalls, 0.5),
         stall_p90=_percentile(stalls, 0.9),
         stall_p99=_percentile(stalls, 0.99),
         delay_p50=_percentile(delays, 0.5),
         delay_p99=_percentile(delays, 0.99),
-        fill=sum(result.step_tokens for result in results) / max(steps, 1) / BATCH,
+        fill=sum(result.step_tokens for result in results) / max(steps, 1) / BATCH_SIZE,
         adapters=sum(result.step_adapters for result in results) / max(steps, 1),
         goodput=sum(item.tokens for item in in_time) / seconds,
-        done=len(done) / len(first),
-        refused=part("refused"),
-        expired=part("expired") + part("late"),
-        failed=part("failed"),
+        done=len(done) / len(first_submissions),
+        refused=share("refused"),
+        expired=share("expired") + share("late"),
+        failed=share("failed"),
         amplification=sum(result.attempts for result in results)
         / max(sum(result.admitted for result in results), 1),
         loads_per_second=sum(result.loads / result.duration for result in results)
         / len(results),
-        worst_class=_worst(requests, first, "priority"),
-        worst_team=_worst(requests, first, "team"),
+        worst_class=_find_worst_share(requests, first_submissions, "priority"),
+        worst_team=_find_worst_share(requests, first_submissions, "team"),
     )
 
 
-def _percentile(ordered: list[float], part: float) -> float:
-    return ordered[min(int(part * len(ordered)), len(ordered) - 1)] if ordered else 0.0
+def _percentile(ordered: list[float], share: float) -> float:
+    return ordered[min(int(share * len(ordered)), len(ordered) - 1)] if ordered else 0.0
 
 
-def _worst(requests: list, first: list, name: str) -> float:
-    groups = {getattr(item, name) for item in first}
+def _find_worst_share(requests: list, first_submissions: list, attribute: str) -> float:
+    groups = {getattr(item, attribute) for item in first_submissions}
     return min(
         sum(
-            getattr(item, name) == group and item.outcome == "done" for item in requests
+            getattr(item, attribute) == group and item.outcome == "done"
+            for item in requests
         )
-        / sum(getattr(item, name) == group for item in first)
+        / sum(getattr(item, attribute) == group for item in first_submissions)
         for group in groups
     )
--- a/benchmarks/policy/policies.py
+++ b/benchmarks/policy/policies.py
@@ -1,4 +1,4 @@
-"""The policies that the bench compares; only `Decisions` is what the programs do."""
+"""Policies that the benchmark compares; `Decisions` is the one of the programs."""
 
 import random
 from collections import Counter, defaultdict
@@ -27,49 +27,50 @@
 
 
 class Policy(Protocol):
-    """What a run asks of a policy."""
+    """Interface between a simulation and a policy."""
 
     name: str
-    #: Whether loads wait for permits, and whether late requests are answered early.
+    #: Whether loads need permits, and whether queued requests that cannot end in time
+    #: are dropped before their deadline.
     permits: bool
     drops_late: bool
-    #: Whether entry hosts count own dispatches.
-    corrects: bool
+    #: Whether entry hosts add their recent dispatches to the reported load.
+    counts_own_dispatches: bool
 
     def route(
         self, request: Request, view: EntryView, now: float
     ) -> TargetId | Refused | None:
-        """Return a target, a refusal, or none when no target is up."""
+        """Return a target, a refusal, or ``None`` if no target is available."""
 
     def choose_next(self, engine: Engine, ready: list[QueuedRequest], now: float):
         """Return the request to run next."""
 
     def choose_victim(self, engine: Engine, now: float) -> SlotView | None:
-        """Return the slot to empty."""
+        """Return the slot to evict."""
 
-    def rate_load(self, engine: Engine, now: float) -> tuple[float, int] | None:
-        """Return urgency and digest of an engine's next load."""
+    def rank_next_load(self, engine: Engine, now: float) -> tuple[float, int] | None:
+        """Return urgency and adapter digest of an engine's next load."""
 
     def prefetch(self, engines: list[Engine], now: float) -> tuple[Engine, int] | None:
-        """Return a load that nobody waits for yet."""
+        """Return engine and digest of a load for which no request waits yet."""
 
-    def count(self, request: Request, change: int) -> None:
-        """Count what an entry host has let in and not answered."""
+    def count_admitted(self, request: Request, change: int) -> None:
+        """Update the number of unfinished requests that an entry host has admitted."""
 
 
 class Baseline:
-    """First come, first served, least recently used; no permits, no refusals."""
+    """Common baseline: FIFO queue, LRU eviction, no load permits and no refusals."""
 
     name = ""
     permits = False
     drops_late = False
-    corrects = False
+    counts_own_dispatches = False
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
 
     def route(self, request: Request, view: EntryView, now: float):
-        """Choose among all that can be reached."""
+        """Choose among the reachable targets that have not been tried."""
         usable = [
             item
             for item in view.all()
@@ -82,54 +83,58 @@
         raise NotImplementedError
 
     def choose_next(self, engine: Engine, ready: list[QueuedRequest], now: float):
-        """Return the oldest."""
+        """Return the request that arrived first."""
         return min(ready, key=lambda item: item.arrived, default=None)
 
     def choose_victim(self, engine: Engine, now: float) -> SlotView | None:
-        """Return the least recently used that isn't pinned."""
+        """Return the least recently used slot that is not pinned."""
         free = [slot for slot in engine.slot_views() if not slot.pins]
         return min(free, key=lambda slot: slot.last_used, default=None)
 
-    def rate_load(self, engine: Engine, now: float):
-        """Return the wish that has waited longest."""
-        ready = [wish for wish in engine.wishes() if wish.not_before <= now]
-        best = max(ready, key=lambda wish: wish.oldest, default=None)
+    def rank_next_load(self, engine: Engine, now: float):
+        """Return the needed adapter whose oldest request has waited longest."""
+        ready = [load for load in engine.list_needed_loads() if load.not_before <= now]
+        best = max(ready, key=lambda load: load.oldest, default=None)
         return None if best is None else (best.oldest, best.digest)
 
     def prefetch(self, engines: list[Engine], now: float):
-        """Return nothing."""
+        """Return ``None``; this policy does not prefetch."""
 
-    def count(self, request: Request, change: int) -> None:
-        """Count nothing."""
+    def count_admitted(self, request: Request, change: int) -> None:
+        """Do nothing."""
 
 
 class Random(Baseline):
-    """Any target."""
+    """Chooses a random target."""
 
     name = "random"
 
     def choose(self, request: Request, usable: list[TargetView]) -> TargetView:
-        """Return any."""
-        return self.chance.choice(usable)
+        """Return a random target."""
+        return self.rng.choice(usable)
 
 
 class LeastLoaded(Baseline):
-    """The target with the fewest requests."""
+    """Chooses the target with the fewest requests."""
 
     name = "least loaded"
 
     def choose(self, request: Request, usable: list[TargetView]) -> TargetView:
-        """Return the least loaded as last reported."""
-        return min(usable, key=lambda item: (_load(item), self.chance.random()))
+        """Return the target with the least load by its last report."""
+        return min(usable, key=lambda item: (_relative_load(item), self.rng.random()))
 
 
 class Affinity(Baseline):
-    """A target that holds the adapter, while its queue is short; else least loaded."""
+    """Prefers targets that hold the adapter and have a short queue, then least load."""
 
     name = "affinity, LRU"
 
     def choose(self, request: Request, usable: list[TargetView]) -> TargetView:
-        """Prefer holders whose queue is below one batch."""
+        """Return the least loaded target that holds the adapter.
+
+        Targets whose queue has reached one batch are left out; if none is left, the
+        least loaded of all is returned.
+        """
         holders = [
             item
             for item in usable
@@ -137,19 +142,20 @@
             and item.queued < item.batch
         ]
         return min(
-            holders or usable, key=lambda item: (_load(item), self.chance.random())
+            holders or usable,
+            key=lambda item: (_relative_load(item), self.rng.random()),
         )
 
 
-#: A team's share of the queue may be exceeded by so much before it is held to it.
-TEAM_SLACK = 1.5
+#: Factor by which a team may exceed its share of the queue before it is limited.
+TEAM_SHARE_FACTOR = 1.5
 
 
 @dataclass(frozen=True)
 class Features:
-    """Ideas that can be taken out one by one.
+    """Features of the decisions that can be disabled one at a time.
 
-    An idea is taken out by hiding from the real decision what it goes by.
+    A feature is disabled by withholding from the decision the input that it depends on.
     """
 
     own_dispatches: bool = True
@@ -168,7 +174,7 @@
 
 
 class Decisions:
-    """The decisions of the programs, from what the programs know."""
+    """The decisions of the programs, with the information that the programs have."""
 
     def __init__(
         self,
@@ -178,61 +184,69 @@
         name: str = "ibishead",
     ) -> None:
         self.name = name
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.features = features or Features()
         self.stall_weight = stall_weight
         self.permits = self.features.permits
         self.drops_late = self.features.drops_late
-        self.corrects = self.features.own_dispatches
-        self._open: defaultdict[tuple[int, int], Counter] = defaultdict(Counter)
+        self.counts_own_dispatches = self.features.own_dispatches
+        self._unfinished: defaultdict[tuple[int, int], Counter] = defaultdict(Counter)
 
     def route(self, request: Request, view: EntryView, now: float):
-        """Place the request, then admit it by the wait that it meets there."""
+        """Place the request, then admit or refuse it by the wait expected there."""
         query = PlacementQuery(
             request.adapter, self.stall_weight, avoid=frozenset(request.avoid)
         )
-        targets = self._hide(request, view.candidates(request.adapter))
-        placed = place(query, targets, self.chance.random)
+        targets = self._apply_features(request, view.candidates(request.adapter))
+        placed = place(query, targets, self.rng.random)
         if placed is None:
             return None
         if self.features.admission:
-            verdict = admit(self._ask(request, view, placed, now))
-            if isinstance(verdict, Refused):
-                return verdict
+            decision = admit(self._make_admission_query(request, view, placed, now))
+            if isinstance(decision, Refused):
+                return decision
         return placed.target
 
-    def _ask(
+    def _make_admission_query(
         self, request: Request, view: EntryView, placed: Placed, now: float
     ) -> AdmissionQuery:
-        up = [item for item in view.all() if item.reachable]
-        capacity = sum(item.batch for item in up)
-        waiting = sum(max(0, _ready(item) - item.batch) for item in up)
-        open_here = self._open[request.entry, request.service]
-        total = max(1, sum(open_here.values()))
-        team = sum(n for (name, _), n in open_here.items() if name == request.team)
-        level = sum(n for (_, p), n in open_here.items() if p == request.priority)
+        reachable_targets = [item for item in view.all() if item.reachable]
+        capacity = sum(item.batch for item in reachable_targets)
+        waiting = sum(
+            max(0, _count_ready(item) - item.batch) for item in reachable_targets
+        )
+        unfinished = self._unfinished[request.entry, request.service]
+        unfinished_total = max(1, sum(unfinished.values()))
+        team = sum(n for (name, _), n in unfinished.items() if name == request.team)
+        class_count = sum(
+            n for (_, p), n in unfinished.items() if p == request.priority
+        )
         return AdmissionQuery(
             priority=request.priority,
             deadline=request.deadline - now,
             waiting=waiting,
             capacity=capacity,
-            seconds_per_request=sum(item.seconds_per_request for item in up)
-            / max(len(up), 1),
-            draw=self.chance.random(),
-            team_share=0.25 * TEAM_SLACK,
-            team_waiting=waiting * team // total,
-            class_waiting=waiting * level // total,
+            seconds_per_request=sum(
+                item.seconds_per_request for item in reachable_targets
+            )
+            / max(len(reachable_targets), 1),
+            draw=self.rng.random(),
+            team_share=0.25 * TEAM_SHARE_FACTOR,
+            team_waiting=waiting * team // unfinished_total,
+            class_waiting=waiting * class_count // unfinished_total,
             expected_wait=placed.expected_wait,
             needs_load=placed.needs_load,
-            pending_loads=sum(item.pending_loads for item in up),
+            pending_loads=sum(item.pending_loads for item in reachable_targets),
         )
 
-    def count(self, request: Request, change: int) -> None:
-        """Count the requests that an entry host has let in and not answered."""
-        counter = self._open[request.entry, request.service]
+    def count_admitted(self, request: Request, change: int) -> None:
+        """Update the number of unfinished requests that an entry host has admitted."""
+        counter = self._unfinished[request.entry, request.service]
         counter[request.team, request.priority] += change
 
-    def _hide(self, request: Request, targets: list[TargetView]) -> list[TargetView]:
+    def _apply_features(
+        self, request: Request, targets: list[TargetView]
+    ) -> list[TargetView]:
         features = self.features
         if not features.coldest:
             targets = [replace(item, coldest=0.0) for item in targets]
@@ -251,32 +265,32 @@
         return targets
 
     def choose_next(self, engine: Engine, ready: list[QueuedRequest], now: float):
-        """Ask the queueing decision."""
-        used = engine.fair.read(now) if self.features.fairness else None
+        """Return the result of the queueing decision."""
+        used = engine.fair_queue.read(now) if self.features.fairness else None
         weight = self.stall_weight if self.features.grouping else 1.0
         return choose_next(ready, engine.running, now, used=used, stall_weight=weight)
 
     def choose_victim(self, engine: Engine, now: float) -> SlotView | None:
-        """Ask the eviction decision."""
+        """Return the result of the eviction decision."""
         slots = engine.slot_views()
         if not self.features.reuse:
             slots = [replace(slot, reuse=0.0) for slot in slots]
         return choose_victim(slots, now, spare_waiting=self.features.spare_waiting)
 
-    def rate_load(self, engine: Engine, now: float):
-        """Ask the loading decision."""
-        ready = [wish for wish in engine.wishes() if wish.not_before <= now]
-        key = urgency if self.features.harm else (lambda wish: wish.oldest)
+    def rank_next_load(self, engine: Engine, now: float):
+        """Return the result of the loading decision."""
+        ready = [load for load in engine.list_needed_loads() if load.not_before <= now]
+        key = urgency if self.features.harm else (lambda load: load.oldest)
         best = max(ready, key=key, default=None)
         return None if best is None else (key(best), best.digest)
 
     def prefetch(self, engines: list[Engine], now: float):
-        """Return nothing."""
+        """Return ``None``; this policy does not prefetch."""
 
 
-def _ready(view: TargetView) -> int:
+def _count_ready(view: TargetView) -> int:
     return view.running + view.queued + view.recent_dispatches - view.stalled
 
 
-def _load(view: TargetView) -> float:
+def _relative_load(view: TargetView) -> float:
     return (view.running + view.queued) / view.batch
--- a/benchmarks/policy/report.py
+++ b/benchmarks/policy/report.py
@@ -1,4 +1,4 @@
-"""Writes ``docs/MEASURES.md`` and its plots from one run of the whole bench.
+"""Runs the whole benchmark and writes ``docs/MEASURES.md`` and its plots.
 
 Usage: ``python -m benchmarks.policy.report``.
 """
@@ -8,16 +8,16 @@
 import click
 
 from benchmarks.policy import plots
-from benchmarks.policy.goals import judge
+from benchmarks.policy.goals import evaluate_goals
 from benchmarks.policy.measures import Measures
 from benchmarks.policy.policies import Features
-from benchmarks.policy.runs import ALTERNATIVES, POLICIES, Run, play_all
+from benchmarks.policy.runs import ALTERNATIVES, POLICIES, Run, measure_all
 from benchmarks.policy.workloads import WORKLOADS
 
 __all__ = ["main"]
 
-#: Workloads on which ideas are taken out one by one.
-STUDIED = ("steady", "shift", "saturation")
+#: Workloads for the ablations, the alternatives and the stall weights.
+STUDY_WORKLOADS = ("steady", "shift", "saturation")
 WEIGHTS = (0.0, 0.25, 0.5, 0.75, 1.0)
 
 INTRODUCTION = """# Decisions under load, measured
@@ -70,42 +70,46 @@
 
 
 @click.command()
-@click.option("--jobs", default=4, help="Processes that play runs at once.")
-@click.option("--seeds", default=3, help="Seeds of each run.")
+@click.option("--jobs", default=4, help="Number of parallel processes.")
+@click.option("--seeds", default=3, help="Number of seeds for each run.")
 @click.option("--out", default="docs", type=click.Path(path_type=Path))
 def main(jobs: int, seeds: int, out: Path) -> None:
-    """Play everything and write the page."""
-    chosen = tuple(range(1, seeds + 1))
-    table = [Run(work, policy, chosen) for work in WORKLOADS for policy in POLICIES]
+    """Run all simulations and write the report and its plots."""
+    seed_numbers = tuple(range(1, seeds + 1))
+    table = [
+        Run(workload, policy, seed_numbers)
+        for workload in WORKLOADS
+        for policy in POLICIES
+    ]
     weights = [
-        Run(work, "ibishead", chosen, stall_weight=weight)
-        for work in STUDIED
+        Run(workload, "ibishead", seed_numbers, stall_weight=weight)
+        for workload in STUDY_WORKLOADS
         for weight in WEIGHTS
     ]
-    ideas = [
-        Run(work, "ibishead", chosen, without=name)
+    ablations = [
+        Run(workload, "ibishead", seed_numbers, without=name)
         for name in Features.__dataclass_fields__
-        for work in STUDIED
+        for workload in STUDY_WORKLOADS
     ]
-    others = [
-        Run(work, "ibishead", chosen, alternative=name)
+    alternatives = [
+        Run(workload, "ibishead", seed_numbers, alternative=name)
         for name in ALTERNATIVES
-        for work in STUDIED
+        for workload in STUDY_WORKLOADS
     ]
-    results = play_all(table + weights + ideas + others, jobs)
-    # The unchanged run stands in two tables and is played once.
+    results = measure_all(table + weights + ablations + alternatives, jobs)
+    # Runs that appear in several tables are simulated only once.
     out.mkdir(exist_ok=True)
-    plots.draw_stalls(results, chosen, out / "stalls.svg")
+    plots.draw_stalls(results, seed_numbers, out / "stalls.svg")
     plots.draw_weights(results, weights, out / "weights.svg")
     sections = [
         INTRODUCTION.format(seeds=seeds),
-        _write_goals(results, chosen),
+        _write_goals(results, seed_numbers),
         "![Load stalls by workload](stalls.svg)\n",
-        _write_workloads(results, chosen),
+        _write_workloads(results, seed_numbers),
         _write_weights(results, weights),
         "![The stall weight](weights.svg)\n",
-        _write_ideas(results, ideas, chosen),
-        _write_alternatives(results, others, chosen),
+        _write_ablations(results, ablations, seed_numbers),
+        _write_alternatives(results, alternatives, seed_numbers),
         _write_limits(),
     ]
     (out / "MEASURES.md").write_text("\n".join(sections))
@@ -122,42 +126,48 @@
     ]
     lines += [
         f"| {goal.name} | {goal.measured} | {'yes' if goal.reached else '**missed**'} |"
-        for goal in judge(results, seeds)
+        for goal in evaluate_goals(results, seeds)
     ]
     return "\n".join([*lines, ""])
 
 
 def _write_workloads(results: dict[Run, Measures], seeds: tuple[int, ...]) -> str:
     lines = ["## Callers' outcomes", ""]
-    for work in WORKLOADS:
-        callers = results[Run(work, "ibishead", seeds)].callers
-        lines += [f"### {work[0].upper()}{work[1:]}", "", f"{callers} callers.", ""]
+    for workload in WORKLOADS:
+        callers = results[Run(workload, "ibishead", seeds)].callers
+        lines += [
+            f"### {workload[0].upper()}{workload[1:]}",
+            "",
+            f"{callers} callers.",
+            "",
+        ]
         lines += _start_table(HEADINGS)
         lines += [
-            _write_row(policy, results[Run(work, policy, seeds)]) for policy in POLICIES
+            _write_row(policy, results[Run(workload, policy, seeds)])
+            for policy in POLICIES
         ]
         lines.append("")
     return "\n".join(lines)
 
 
-def _write_row(name: str, item: Measures) -> str:
+def _write_row(name: str, measures: Measures) -> str:
     cells = (
         name,
-        f"{item.stall_mean:.3f}",
-        f"{item.stall_p50:.2f}",
-        f"{item.stall_p90:.2f}",
-        f"{item.stall_p99:.2f}",
-        f"{item.delay_p99:.2f}",
-        f"{item.fill:.3f}",
-        f"{item.goodput:.0f}",
-        f"{item.done:.3f}",
-        f"{item.refused:.3f}",
-        f"{item.expired:.3f}",
-        f"{item.failed:.3f}",
-        f"{item.worst_class:.3f}",
-        f"{item.worst_team:.3f}",
-        f"{item.amplification:.3f}",
-        f"{item.loads_per_second:.2f}",
+        f"{measures.stall_mean:.3f}",
+        f"{measures.stall_p50:.2f}",
+        f"{measures.stall_p90:.2f}",
+        f"{measures.stall_p99:.2f}",
+        f"{measures.delay_p99:.2f}",
+        f"{measures.fill:.3f}",
+        f"{measures.goodput:.0f}",
+        f"{measures.done:.3f}",
+        f"{measures.refused:.3f}",
+        f"{measures.expired:.3f}",
+        f"{measures.failed:.3f}",
+        f"{measures.worst_class:.3f}",
+        f"{measures.worst_team:.3f}",
+        f"{measures.amplification:.3f}",
+        f"{measures.loads_per_second:.2f}",
     )
     return "| " + " | ".join(cells) + " |"
 
@@ -167,31 +177,39 @@
     return ["| " + " | ".join(headings) + " |", rule]
 
 
-SHORT = ("", "stall mean", "stall p99", "delay p99", "fill", "goodput", "loads/s")
+SHORT_HEADINGS = (
+    "",
+    "stall mean",
+    "stall p99",
+    "delay p99",
+    "fill",
+    "goodput",
+    "loads/s",
+)
 
 
-def _write_short(name: str, item: Measures) -> str:
+def _write_short(name: str, measures: Measures) -> str:
     return (
-        f"| {name} | {item.stall_mean:.3f} | {item.stall_p99:.2f} "
-        f"| {item.delay_p99:.2f} | {item.fill:.3f} | {item.goodput:.0f} "
-        f"| {item.loads_per_second:.2f} |"
+        f"| {name} | {measures.stall_mean:.3f} | {measures.stall_p99:.2f} "
+        f"| {measures.delay_p99:.2f} | {measures.fill:.3f} | {measures.goodput:.0f} "
+        f"| {measures.loads_per_second:.2f} |"
     )
 
 
 def _write_weights(results: dict[Run, Measures], runs: list[Run]) -> str:
     lines = ["## The stall weight", ""]
-    for work in STUDIED:
-        lines += [f"On {work}:", "", *_start_table(("weight", *SHORT[1:]))]
+    for workload in STUDY_WORKLOADS:
+        lines += [f"On {workload}:", "", *_start_table(("weight", *SHORT_HEADINGS[1:]))]
         lines += [
             _write_short(f"{run.stall_weight}", results[run])
             for run in runs
-            if run.workload == work
+            if run.workload == workload
         ]
         lines.append("")
     return "\n".join(lines)
 
 
-def _write_ideas(
+def _write_ablations(
     results: dict[Run, Measures], runs: list[Run], seeds: tuple[int, ...]
 ) -> str:
     lines = [
@@ -201,13 +219,19 @@
         "Differences of a tenth between rows are within what seeds do.",
         "",
     ]
-    for work in STUDIED:
-        lines += [f"On {work}:", "", *_start_table(("without", *SHORT[1:]))]
-        lines.append(_write_short("(nothing)", results[Run(work, "ibishead", seeds)]))
+    for workload in STUDY_WORKLOADS:
+        lines += [
+            f"On {workload}:",
+            "",
+            *_start_table(("without", *SHORT_HEADINGS[1:])),
+        ]
+        lines.append(
+            _write_short("(nothing)", results[Run(workload, "ibishead", seeds)])
+        )
         lines += [
             _write_short(run.without.replace("_", " "), results[run])
             for run in runs
-            if run.workload == work
+            if run.workload == workload
         ]
         lines.append("")
     return "\n".join(lines)
@@ -217,15 +241,15 @@
     results: dict[Run, Measures], runs: list[Run], seeds: tuple[int, ...]
 ) -> str:
     lines = ["## Tried and dropped", "", "Each row puts in one alternative.", ""]
-    for work in STUDIED:
-        lines += [f"On {work}:", "", *_start_table(("with", *SHORT[1:]))]
+    for workload in STUDY_WORKLOADS:
+        lines += [f"On {workload}:", "", *_start_table(("with", *SHORT_HEADINGS[1:]))]
         lines.append(
-            _write_short("(as it stands)", results[Run(work, "ibishead", seeds)])
+            _write_short("(as it stands)", results[Run(workload, "ibishead", seeds)])
         )
         lines += [
             _write_short(run.alternative, results[run])
             for run in runs
-            if run.workload == work
+            if run.workload == workload
         ]
         lines.append("")
     return "\n".join(lines)
--- a/benchmarks/policy/runs.py
+++ b/benchmarks/policy/runs.py
@@ -1,4 +1,4 @@
-"""Runs of the bench by name, spread over processes."""
+"""Runs of the benchmark by the names of workload and policy, in several processes."""
 
 from collections.abc import Callable, Iterable, Iterator
 from concurrent.futures import ProcessPoolExecutor
@@ -17,21 +17,22 @@
     Random,
 )
 from benchmarks.policy.simulation import Result, Simulation, make_clairvoyant
-from benchmarks.policy.workloads import DURATION, WORKLOADS, Request
+from benchmarks.policy.workloads import DURATION_SECONDS, WORKLOADS, Request
 from ibishead.decisions import admission, eviction, placement, queueing
 
-__all__ = ["ALTERNATIVES", "POLICIES", "Run", "play", "play_all"]
+__all__ = ["ALTERNATIVES", "POLICIES", "Run", "measure_all", "measure_run"]
 
-#: Arrivals for which the clairvoyant may prefetch.
-AHEAD = 64
+#: Number of upcoming arrivals for which the clairvoyant policy may prefetch.
+PREFETCH_LOOKAHEAD = 64
 
 
 @dataclass(frozen=True)
 class Run:
-    """One workload under one policy.
+    """Configuration of a run: one workload under one policy.
 
-    :param without: a feature of `Features` that is taken out.
-    :param alternative: a name of `ALTERNATIVES` that is put in.
+    :ivar without: name of a feature of `Features` that is disabled.
+    :ivar alternative: key of the entry of `ALTERNATIVES` that is applied.
+    :ivar duration: virtual seconds.
     """
 
     workload: str
@@ -40,7 +41,7 @@
     stall_weight: float = 0.5
     without: str = ""
     alternative: str = ""
-    duration: float = DURATION
+    duration: float = DURATION_SECONDS
 
 
 @dataclass(frozen=True)
@@ -82,22 +83,25 @@
 }
 
 
-def play(run: Run) -> Measures:
-    """Play a run with all its seeds and return its measures."""
-    with _put_in(run.alternative):
-        return measure([_play_seed(run, seed) for seed in run.seeds])
+def measure_run(run: Run) -> Measures:
+    """Simulate a run with each of its seeds and return the measures."""
+    with _use_alternative(run.alternative):
+        return measure([_simulate(run, seed) for seed in run.seeds])
 
 
-def play_all(runs: Iterable[Run], jobs: int) -> dict[Run, Measures]:
-    """Play many runs, up to ``jobs`` at once."""
+def measure_all(runs: Iterable[Run], jobs: int) -> dict[Run, Measures]:
+    """Return the measures of many runs, each simulated once.
+
+    :param jobs: number of parallel processes.
+    """
     runs = list(dict.fromkeys(runs))
     with ProcessPoolExecutor(jobs) as pool:
-        return dict(zip(runs, pool.map(play, runs), strict=True))
+        return dict(zip(runs, pool.map(measure_run, runs), strict=True))
 
 
-def _play_seed(run: Run, seed: int) -> Result:
-    make = _make_policy(run, seed)
-    return Simulation(WORKLOADS[run.workload], seed, make, run.duration).run()
+def _simulate(run: Run, seed: int) -> Result:
+    make_policy = _make_policy(run, seed)
+    return Simulation(WORKLOADS[run.workload], seed, make_policy, run.duration).run()
 
 
 def _make_policy(
@@ -116,19 +120,19 @@
         case "clairvoyant, on demand":
             return make_clairvoyant(0)
         case "clairvoyant, prefetching":
-            return make_clairvoyant(AHEAD)
-    raise ValueError(f"no policy is named {run.policy}")
+            return make_clairvoyant(PREFETCH_LOOKAHEAD)
+    raise ValueError(f"unknown policy: {run.policy}")
 
 
 @contextmanager
-def _put_in(name: str) -> Iterator[None]:
+def _use_alternative(name: str) -> Iterator[None]:
     if not name:
         yield
         return
-    item = ALTERNATIVES[name]
-    before = getattr(item.module, item.name)
-    setattr(item.module, item.name, item.value)
+    alternative = ALTERNATIVES[name]
+    original = getattr(alternative.module, alternative.name)
+    setattr(alternative.module, alternative.name, alternative.value)
     try:
         yield
     finally:
-        setattr(item.module, item.name, before)
+        setattr(alternative.module, alternative.name, original)
--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -259,7 +259,7 @@
         (f"{GATE}::test_gate_decides",),
     ),
     Guard(
-        "a dispatch with an outdated document is refused",
+        "an outdated document is refused and the newer one is sent",
         "agent/gate.py",
         "if document is not None and dispatch.revision < document.revision:",
         "if False and document is not None:",
--- a/tests/decisions/test_bounds.py
+++ b/tests/decisions/test_bounds.py
@@ -10,7 +10,7 @@
 import pytest
 from benchmarks.policy import runs
 from benchmarks.policy.goals import saturated_capacity
-from benchmarks.policy.runs import Run, play
+from benchmarks.policy.runs import Run, measure_run
 
 BOUNDS = Path(runs.__file__).with_name("bounds.ini")
 
@@ -36,7 +36,7 @@
     "workload", [name for name in read_bounds().sections() if name != "run"]
 )
 def test_bounds(workload):
-    found = play(make_run(workload))
+    found = measure_run(make_run(workload))
     values = {name: getattr(found, name) for name in found.__dataclass_fields__}
     values["goodput"] = found.goodput / saturated_capacity(found.adapters)
     violations = []
@@ -51,12 +51,12 @@
 
 def test_fewer_loads_than_affinity_with_lru():
     result, baseline = (
-        play(make_run("steady")),
-        play(make_run("steady", "affinity, LRU")),
+        measure_run(make_run("steady")),
+        measure_run(make_run("steady", "affinity, LRU")),
     )
     assert result.loads_per_second < 0.95 * baseline.loads_per_second
     assert result.stall_mean < baseline.stall_mean
 
 
 def test_same_seed_gives_same_figures():
-    assert play(make_run("domain gone")) == play(make_run("domain gone"))
+    assert measure_run(make_run("domain gone")) == measure_run(make_run("domain gone"))
