--- a/src/ibishead/standin/__init__.py
+++ b/src/ibishead/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for engines, plain services, the weight store and callers."""
+"""Test doubles for engines, plain services, the weight store and callers."""
--- a/src/ibishead/standin/calls.py
+++ b/src/ibishead/standin/calls.py
@@ -1,4 +1,7 @@
-"""What a load generator asks and how it judges answers, apart from I/O."""
+"""Requests of the load generator and the classification of their responses.
+
+This module does no I/O; `ibishead.standin.load` sends the requests.
+"""
 
 import random
 from collections.abc import Iterator
@@ -16,22 +19,22 @@
     "CallKind",
     "Mix",
     "Verdict",
-    "judge_failure",
-    "judge_text",
+    "classify_failure",
+    "classify_text",
     "parse_content",
     "plan_calls",
     "split_events",
 ]
 
-#: Starts the event that ends a stream which can't be completed.
+#: First line of the server-sent event that terminates a stream after a failure.
 ERROR_EVENT = "event: error"
 
-#: Header in which every answer says what is known of the run.
+#: Response header that holds the known outcome of the request.
 OUTCOME_HEADER = "x-ibishead-outcome"
 
 
 class CallKind(Enum):
-    """What kind of call."""
+    """Type of request that a call sends."""
 
     CHAT = "chat"
     STREAM = "stream"
@@ -39,7 +42,13 @@
 
 
 class Verdict(Enum):
-    """How a call ended, as its caller sees it."""
+    """Result of a call from the caller's point of view.
+
+    `WHOLE` is a complete and correct response, `CUT` one that was truncated or lost,
+    `WRONG` one with unexpected content, and `UNREACHABLE` a failed connection attempt.
+    `NOT_RUN` and `UNKNOWN` are outcomes that the server reported; `FAILED` is an error
+    response without such an outcome.
+    """
 
     WHOLE = "whole"
     NOT_RUN = "not_run"
@@ -52,14 +61,21 @@
 
 @dataclass(frozen=True)
 class Mix:
-    """What is asked, in which shares.
-
-    :param service: empty for calls that go to an engine itself.
-    :param adapters: `name@version`, the most popular first.
-    :param zipf: exponent of the adapters' popularity; 0 for equal shares.
-    :param rate: calls a second, arriving at random; 0 for all at once.
-    :param streams: share of streams among the model calls.
-    :param plain_share: share of non-idempotent plain calls, each with a key.
+    """Configuration of the generated load: number, rate and types of calls.
+
+    :param service: service of the model calls; empty for calls sent directly to an
+        engine.
+    :param adapters: adapters as `name@version`, the most frequently requested first.
+    :param count: number of calls.
+    :param rate: mean calls per second of a Poisson process; 0 sends all calls at once.
+    :param zipf: exponent of the Zipf distribution of adapters; 0 is uniform.
+    :param streams: share of model calls that request a stream, from 0 to 1.
+    :param max_tokens: tokens requested by each model call.
+    :param plain_service: service of the plain calls.
+    :param plain_path: path of the plain calls within that service.
+    :param plain_share: share of non-idempotent plain calls, from 0 to 1; each has its
+        own idempotency key.
+    :param seed: seed of the random generator; also part of each marker.
     """
 
     service: str
@@ -77,43 +93,47 @@
 
 @dataclass(frozen=True)
 class Call:
-    """One call of the plan.
-
-    :param at: seconds after the start.
-    :param word: in the prompt, and so in every token of the right answer.
+    """One planned call.
+
+    :param number: position in the plan, from 0.
+    :param at: start time, in seconds after the start of the run.
+    :param adapter: `name@version`; empty for plain calls.
+    :param marker: unique word in the prompt; the engine repeats it in every token of a
+        correct response.
+    :param mix: the configuration that the call was generated from.
     """
 
     number: int
     at: float
     kind: CallKind
     adapter: str
-    word: str
+    marker: str
     mix: Mix
 
     @property
     def key(self) -> str:
-        """The idempotency key of a plain call."""
-        return f"key-{self.word}" if self.kind is CallKind.PLAIN else ""
+        """Idempotency key of a plain call; empty for model calls."""
+        return f"key-{self.marker}" if self.kind is CallKind.PLAIN else ""
 
     @property
     def path(self) -> str:
-        """Where the call goes."""
+        """Request path."""
         if self.kind is CallKind.PLAIN:
             return f"/services/{self.mix.plain_service}{self.mix.plain_path}"
         return "/v1/chat/completions"
 
     @property
     def headers(self) -> Headers:
-        """Headers of the call, without the caller's key."""
-        own: Headers = (("content-type", "application/json"),)
-        return own + ((("idempotency-key", self.key),) if self.key else ())
+        """Request headers without the caller's API key."""
+        headers: Headers = (("content-type", "application/json"),)
+        return headers + ((("idempotency-key", self.key),) if self.key else ())
 
     @property
     def body(self) -> bytes:
-        """Body of the call."""
+        """Request body."""
         if self.kind is CallKind.PLAIN:
-            return msgspec.json.encode({"issue": self.word})
-        message = {"role": "user", "content": f"mend {self.word}"}
+            return msgspec.json.encode({"issue": self.marker})
+        message = {"role": "user", "content": f"mend {self.marker}"}
         return msgspec.json.encode(
             {
                 "model": self.model,
@@ -125,19 +145,19 @@
 
     @property
     def model(self) -> str:
-        """The model's name for an entry host, or for an engine without service."""
+        """Model name in the request: `service/adapter`, or `adapter` for an engine."""
         service = self.mix.service
         return f"{service}/{self.adapter}" if service else self.adapter
 
     @property
     def expected(self) -> str:
-        """The whole text of the right answer to a model call."""
+        """Complete text of the correct response to a model call."""
         tokens = range(self.mix.max_tokens)
-        return "".join(f"{self.adapter}:{self.word}:{i} " for i in tokens)
+        return "".join(f"{self.adapter}:{self.marker}:{i} " for i in tokens)
 
 
 def plan_calls(mix: Mix) -> Iterator[Call]:
-    """Yield the calls in order of time; the same mix gives the same calls."""
+    """Yield calls in order of start time; equal configurations give equal calls."""
     generator = random.Random(mix.seed)
     ranks = range(1, len(mix.adapters) + 1)
     weights = list(accumulate(rank**-mix.zipf for rank in ranks))
@@ -156,35 +176,35 @@
 
 
 def split_events(buffer: bytes) -> tuple[list[str], bytes]:
-    """Return the data of whole server-sent events, and what is left over.
+    """Return the data of complete server-sent events and the remaining bytes.
 
-    An event of type ``error`` keeps its type's line.
+    An event of type ``error`` is returned with its ``event:`` line.
     """
-    *whole, rest = buffer.split(b"\n\n")
-    return [event.decode().removeprefix("data: ") for event in whole], rest
+    *events, remainder = buffer.split(b"\n\n")
+    return [event.decode().removeprefix("data: ") for event in events], remainder
 
 
 def parse_content(data: str) -> str:
-    """Return the text in one event or answer of a chat completion."""
+    """Return the text of a chat completion event or response; empty if it has none."""
     try:
         choice = msgspec.json.decode(data)["choices"][0]
-        part = choice.get("delta") or choice.get("message") or {}
-        return str(part.get("content") or "")
+        message = choice.get("delta") or choice.get("message") or {}
+        return str(message.get("content") or "")
     except (msgspec.DecodeError, KeyError, IndexError, TypeError, AttributeError):
         return ""
 
 
-def judge_text(call: Call, text: str) -> Verdict:
-    """Return how an answer that was received as completed compares."""
+def classify_text(call: Call, text: str) -> Verdict:
+    """Compare the text of a successful response with the expected text."""
     if call.kind is CallKind.PLAIN:
-        return Verdict.WHOLE if call.word in text else Verdict.WRONG
+        return Verdict.WHOLE if call.marker in text else Verdict.WRONG
     if text == call.expected:
         return Verdict.WHOLE
     return Verdict.CUT if call.expected.startswith(text) else Verdict.WRONG
 
 
-def judge_failure(headers: Headers) -> Verdict:
-    """Return what an answer without success says of the run."""
+def classify_failure(headers: Headers) -> Verdict:
+    """Return the verdict for an error response from its outcome header."""
     match find_header(headers, OUTCOME_HEADER):
         case "not_run":
             return Verdict.NOT_RUN
--- a/src/ibishead/standin/engine.py
+++ b/src/ibishead/standin/engine.py
@@ -1,7 +1,8 @@
-"""A model engine without weights: adapter slots, a continuous batch, and tokens.
+"""Simulated model engine with adapter slots, continuous batching and token output.
 
-Pure computation; the caller keeps the time and the connections. Each token shows
-which weights produced it, whatever name the request asked for.
+This module does no I/O and has no timers; the caller provides time and connections.
+Each token contains the name of the weights that produced it, independent of the model
+name in the request.
 """
 
 from dataclasses import dataclass
@@ -13,21 +14,21 @@
     "EngineOptions",
     "Generation",
     "GenerationState",
-    "OrderError",
+    "AdapterRequestError",
     "UnknownModelError",
 ]
 
-#: Shown in tokens that no adapter had a part in.
+#: Name of the weights in tokens that were produced without an adapter.
 BASE_WEIGHTS = "base"
 
-#: How much longer one step takes with a full batch than with one request.
-FULL_BATCH_COST = 0.5
+#: Share by which the duration of a step grows from an empty to a full batch.
+FULL_BATCH_SLOWDOWN = 0.5
 
 
-class OrderError(Exception):
-    """An order that the engine refuses.
+class AdapterRequestError(Exception):
+    """Raised when the engine rejects a request to load or unload an adapter.
 
-    :param status: the HTTP status that says so.
+    :ivar status: HTTP status of the response.
     """
 
     def __init__(self, status: int, message: str) -> None:
@@ -36,11 +37,11 @@
 
 
 class UnknownModelError(Exception):
-    """No model or adapter of that name is loaded."""
+    """Raised when no model or adapter with the requested name is loaded."""
 
 
 class GenerationState(Enum):
-    """Where a generation stands."""
+    """State of a request in the engine."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -51,12 +52,15 @@
 
 @dataclass(frozen=True)
 class EngineOptions:
-    """What kind of engine this is.
-
-    :param slots: adapters that fit at once.
-    :param batch: requests that run at once.
-    :param token_time: seconds of one step with a single request.
-    :param ignores_unknown_adapter: serve unknown names by the base model.
+    """Configuration of an engine.
+
+    :param model: name of the base model.
+    :param slots: maximum number of loaded adapters.
+    :param batch: maximum number of requests in the batch.
+    :param token_time: base duration of a step in seconds; it grows with the number of
+        requests in the batch.
+    :param ignores_unknown_adapter: serve requests for unknown adapters with the base
+        model.
     """
 
     model: str = "base-model"
@@ -68,35 +72,37 @@
 
 @dataclass(eq=False)
 class Generation:
-    """One request in the engine.
-
-    :param asked: the model name that the request gave.
-    :param served: adapter and version whose weights answer.
-    :param word: shown in each token, so that answers can be told apart.
-    :param priority: lower runs earlier, as in the published protocol.
+    """One completion request in the engine.
+
+    :param request_id: value of the `x-request-id` header.
+    :param model: model name in the request.
+    :param weights: adapter and version whose weights produce the tokens.
+    :param marker: included in each token, to match a response to its request.
+    :param priority: requests with lower values run first, as in the engine's API.
+    :param produced: tokens produced so far.
     """
 
-    request: str
-    asked: str
-    served: str
-    word: str
+    request_id: str
+    model: str
+    weights: str
+    marker: str
     max_tokens: int
     priority: int = 0
     produced: int = 0
     state: GenerationState = GenerationState.WAITING
 
     @property
-    def over(self) -> bool:
-        """Whether no further token will come."""
+    def ended(self) -> bool:
+        """Whether the request has left the queue and the batch."""
         return self.state not in (GenerationState.WAITING, GenerationState.RUNNING)
 
     def render_token(self, position: int) -> str:
-        """Return the token at a position, from 0."""
-        return f"{self.served}:{self.word}:{position} "
+        """Return the token at a position, counted from 0."""
+        return f"{self.weights}:{self.marker}:{position} "
 
 
 class Engine:
-    """Slots and batch of one engine process; empty at the start."""
+    """Adapter slots, queue and batch of one engine process; initially empty."""
 
     def __init__(self, options: EngineOptions) -> None:
         self.options = options
@@ -107,17 +113,17 @@
 
     @property
     def loaded(self) -> dict[str, str]:
-        """Adapter names and the weights behind each."""
+        """Names of the loaded adapters and their weights."""
         return dict(self._loaded)
 
     @property
     def running(self) -> int:
-        """Requests in the batch."""
+        """Number of requests in the batch."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for the batch."""
+        """Number of queued requests."""
         return len(self._waiting)
 
     @property
@@ -127,52 +133,56 @@
 
     @property
     def waiting_adapters(self) -> list[str]:
-        """Names of adapters with requests that wait for the batch."""
+        """Names of adapters with queued requests."""
         return self._list_adapters(self._waiting)
 
     @property
     def busy(self) -> bool:
-        """Whether there is anything to step."""
+        """Whether any request is queued or running."""
         return bool(self._running or self._waiting)
 
     def begin_load(self, name: str) -> None:
         """Reserve a slot for an adapter.
 
-        :raises OrderError: the name is taken or no slot is free.
+        :raises AdapterRequestError: the name is in use or no slot is free.
         """
         if name in self._loaded or name in self._loading or name == self.options.model:
-            raise OrderError(400, f"The lora adapter '{name}' has already been loaded.")
+            raise AdapterRequestError(
+                400, f"The lora adapter '{name}' has already been loaded."
+            )
         if len(self._loaded) + len(self._loading) >= self.options.slots:
-            raise OrderError(400, "No free slot for another lora adapter.")
+            raise AdapterRequestError(400, "No free slot for another lora adapter.")
         self._loading.add(name)
 
     def finish_load(self, name: str, weights: str) -> None:
-        """Put weights into the slot that was reserved."""
+        """Store the weights in the reserved slot."""
         self._loading.discard(name)
         self._loaded[name] = weights
 
-    def abandon_load(self, name: str) -> None:
-        """Free the slot of a load that failed."""
+    def cancel_load(self, name: str) -> None:
+        """Release the slot that was reserved for a failed load."""
         self._loading.discard(name)
 
     def unload(self, name: str) -> list[Generation]:
-        """Free an adapter's slot.
+        """Unload an adapter and abort its requests.
 
-        :returns: generations that still needed it; they are aborted.
-        :raises OrderError: the adapter isn't loaded.
+        :returns: the aborted requests.
+        :raises AdapterRequestError: the adapter is not loaded.
         """
         if name not in self._loaded:
-            raise OrderError(404, f"The lora adapter '{name}' cannot be found.")
+            raise AdapterRequestError(
+                404, f"The lora adapter '{name}' cannot be found."
+            )
         del self._loaded[name]
-        harmed = [g for g in self._running + self._waiting if g.asked == name]
-        for generation in harmed:
+        aborted = [g for g in self._running + self._waiting if g.model == name]
+        for generation in aborted:
             self._end(generation, GenerationState.ABORTED)
-        return harmed
+        return aborted
 
     def resolve(self, name: str) -> str:
-        """Return the weights that serve a model name.
+        """Return the name of the weights for a model name.
 
-        :raises UnknownModelError: none does.
+        :raises UnknownModelError: no such model or adapter is loaded.
         """
         if name in self._loaded:
             return self._loaded[name]
@@ -181,25 +191,27 @@
         raise UnknownModelError(name)
 
     def submit(self, generation: Generation) -> None:
-        """Take a request into the queue, behind those of its priority."""
+        """Queue a request behind those of equal priority."""
         self._waiting.append(generation)
         self._waiting.sort(key=lambda waiting: waiting.priority)
 
     def cancel(self, generation: Generation) -> None:
-        """Drop a request whose caller has left."""
-        if not generation.over:
+        """Cancel a request whose caller has disconnected."""
+        if not generation.ended:
             self._end(generation, GenerationState.CANCELLED)
 
     def compute_step_time(self) -> float:
-        """Return the seconds that the next step takes."""
-        joining = min(len(self._waiting), self.options.batch - len(self._running))
-        fill = (len(self._running) + joining) / self.options.batch
-        return self.options.token_time * (1.0 + FULL_BATCH_COST * fill)
+        """Return the duration of the next step in seconds."""
+        admitted = min(len(self._waiting), self.options.batch - len(self._running))
+        fill = (len(self._running) + admitted) / self.options.batch
+        return self.options.token_time * (1.0 + FULL_BATCH_SLOWDOWN * fill)
 
     def step(self) -> list[Generation]:
-        """Fill the batch and produce one token for each request in it.
+        """Fill the batch from the queue and produce one token per running request.
+
+        A request that received its last token is then `FINISHED`.
 
-        :returns: those that got a token; the last one's state is `FINISHED`.
+        :returns: the requests that received a token.
         """
         while self._waiting and len(self._running) < self.options.batch:
             generation = self._waiting.pop(0)
@@ -213,7 +225,7 @@
         return stepped
 
     def _list_adapters(self, generations: list[Generation]) -> list[str]:
-        return sorted({g.asked for g in generations if g.asked in self._loaded})
+        return sorted({g.model for g in generations if g.model in self._loaded})
 
     def _end(self, generation: Generation, state: GenerationState) -> None:
         if generation in self._running:
--- a/src/ibishead/standin/engine_server.py
+++ b/src/ibishead/standin/engine_server.py
@@ -1,4 +1,4 @@
-"""Stand-in for an OpenAI-compatible engine with dynamic LoRA adapters, over HTTP."""
+"""HTTP server of a simulated OpenAI-compatible engine with dynamic LoRA adapters."""
 
 import asyncio
 import random
@@ -13,11 +13,11 @@
 from ibishead.links import Endpoint
 from ibishead.standin import protocol
 from ibishead.standin.engine import (
+    AdapterRequestError,
     Engine,
     EngineOptions,
     Generation,
     GenerationState,
-    OrderError,
     UnknownModelError,
 )
 from ibishead.standin.events import CacheEvents
@@ -28,31 +28,34 @@
 
 __all__ = ["EngineServer", "Faults"]
 
-#: Seconds for which `/metrics` repeats what it showed before.
-REPORT_LAG = 0.25
+#: Seconds for which `/metrics` returns the same cached response.
+METRICS_CACHE_SECONDS = 0.25
 
 
 @dataclass(frozen=True)
 class Faults:
-    """How this engine fails.
-
-    :param load_failure: share of loads that are answered with an error.
-    :param false_load: share of loads that are answered as done and aren't.
-    :param lies_about_load: `/metrics` always shows an idle engine.
-    :param fencing: orders with an old fencing number are refused.
+    """Injected faults and optional checks of an engine.
+
+    :param load_failure: share of loads that fail with an error response, from 0 to 1.
+    :param false_load: share of loads that report success without loading the adapter,
+        from 0 to 1.
+    :param reports_idle: `/metrics` always reports an idle engine.
+    :param fencing: reject load and unload requests with an outdated fencing number.
+    :param seed: seed of the random generator that selects the failing loads.
     """
 
     load_failure: float = 0.0
     false_load: float = 0.0
-    lies_about_load: bool = False
+    reports_idle: bool = False
     fencing: bool = False
     seed: int = 1
 
 
 class EngineServer:
-    """One engine process.
+    """Handles the HTTP requests of one engine process.
 
-    :param store: where weights come from.
+    :param store: address of the weight store.
+    :param ledger: records the requests and their execution.
     """
 
     def __init__(
@@ -71,23 +74,23 @@
         self._random = random.Random(faults.seed)
         self._events = CacheEvents()
         self._started = clock.now().timestamp()
-        self._fence = 0
+        self._highest_token = 0
         self._ready = asyncio.Event()
         self._progress: dict[Generation, asyncio.Event] = {}
         self._metrics = ""
         self._metrics_at = float("-inf")
 
     async def run(self) -> None:
-        """Step the engine for ever."""
+        """Run engine steps until cancelled."""
         while True:
             await self._ready.wait()
             self._ready.clear()
             while self._engine.busy:
                 await asyncio.sleep(self._engine.compute_step_time())
-                self._wake(self._engine.step())
+                self._notify_progress(self._engine.step())
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Respond to one request."""
         request = exchange.request
         match request.method, request.path:
             case "POST", "/v1/chat/completions":
@@ -95,9 +98,9 @@
             case "POST", "/v1/completions":
                 await self._complete(exchange, chat=False)
             case "POST", "/v1/load_lora_adapter":
-                await self._obey(exchange, self._load)
+                await self._handle_adapter_request(exchange, self._load)
             case "POST", "/v1/unload_lora_adapter":
-                await self._obey(exchange, self._unload)
+                await self._handle_adapter_request(exchange, self._unload)
             case "GET", "/v1/models":
                 body = protocol.render_models(self._engine, int(self._started))
                 await respond_json(exchange, 200, body)
@@ -117,26 +120,30 @@
     # Completions -------------------------------------------------------------
 
     async def _complete(self, exchange: Exchange, chat: bool) -> None:
-        number = find_header(exchange.request.headers, "x-request-id") or ""
+        request_id = find_header(exchange.request.headers, "x-request-id") or ""
         try:
             completion = protocol.decode_completion(exchange.request.body, chat)
         except msgspec.MsgspecError as error:
             body = protocol.render_error(400, str(error))
             await respond_json(exchange, 400, body)
             return
-        self._ledger.add(RecordKind.RECEIVED, request=number, asked=completion.model)
+        self._ledger.add(
+            RecordKind.RECEIVED, request=request_id, asked=completion.model
+        )
         try:
             served = self._engine.resolve(completion.model)
         except UnknownModelError:
-            self._ledger.add(RecordKind.REFUSED, request=number, asked=completion.model)
+            self._ledger.add(
+                RecordKind.REFUSED, request=request_id, asked=completion.model
+            )
             message = f"The model `{completion.model}` does not exist."
             await respond_json(exchange, 404, protocol.render_error(404, message))
             return
         generation = Generation(
-            number,
+            request_id,
             completion.model,
             served,
-            completion.word,
+            completion.marker,
             completion.max_tokens,
             completion.priority,
         )
@@ -148,11 +155,11 @@
         completion: protocol.Completion,
         generation: Generation,
     ) -> None:
-        self._note(RecordKind.STARTED, generation)
+        self._record(RecordKind.STARTED, generation)
         self._progress[generation] = asyncio.Event()
         self._engine.submit(generation)
         self._ready.set()
-        watch = asyncio.create_task(self._cancel_when_gone(exchange, generation))
+        watcher = asyncio.create_task(self._cancel_on_disconnect(exchange, generation))
         try:
             if completion.stream:
                 await self._stream(exchange, completion, generation)
@@ -162,12 +169,12 @@
             self._cancel(generation)
             raise
         finally:
-            watch.cancel()
+            watcher.cancel()
             del self._progress[generation]
         if generation.state is GenerationState.FINISHED:
-            self._note(RecordKind.FINISHED, generation)
+            self._record(RecordKind.FINISHED, generation)
             now = self._clock.now().timestamp()
-            self._events.add(now, generation.served, generation.word)
+            self._events.add(now, generation.weights, generation.marker)
 
     async def _stream(
         self,
@@ -189,7 +196,7 @@
             await exchange.send(
                 protocol.render_chunk(generation, completion, token, created, last)
             )
-        await exchange.send(protocol.DONE_LINE)
+        await exchange.send(protocol.DONE_EVENT)
         await exchange.finish()
 
     async def _answer(
@@ -198,7 +205,7 @@
         completion: protocol.Completion,
         generation: Generation,
     ) -> None:
-        while not generation.over:
+        while not generation.ended:
             await self._wait_for_progress(generation, generation.produced)
         if generation.state is not GenerationState.FINISHED:
             exchange.abort()
@@ -210,46 +217,46 @@
 
     async def _wait_for_progress(self, generation: Generation, seen: int) -> None:
         progress = self._progress[generation]
-        while generation.produced <= seen and not generation.over:
+        while generation.produced <= seen and not generation.ended:
             progress.clear()
             await progress.wait()
 
-    async def _cancel_when_gone(
+    async def _cancel_on_disconnect(
         self, exchange: Exchange, generation: Generation
     ) -> None:
         await exchange.gone.wait()
         self._cancel(generation)
 
     def _cancel(self, generation: Generation) -> None:
-        if not generation.over:
+        if not generation.ended:
             self._engine.cancel(generation)
-            self._note(RecordKind.CANCELLED, generation)
-        self._wake([generation])
+            self._record(RecordKind.CANCELLED, generation)
+        self._notify_progress([generation])
 
-    def _wake(self, generations: list[Generation]) -> None:
+    def _notify_progress(self, generations: list[Generation]) -> None:
         for generation in generations:
             progress = self._progress.get(generation)
             if progress is not None:
                 progress.set()
 
-    def _note(self, kind: RecordKind, generation: Generation) -> None:
+    def _record(self, kind: RecordKind, generation: Generation) -> None:
         self._ledger.add(
             kind,
-            request=generation.request,
-            asked=generation.asked,
-            served=generation.served,
+            request=generation.request_id,
+            asked=generation.model,
+            served=generation.weights,
             detail=f"{generation.produced}/{generation.max_tokens}",
         )
 
-    # Orders ------------------------------------------------------------------
+    # Adapters ----------------------------------------------------------------
 
-    async def _obey(
-        self, exchange: Exchange, order: Callable[[bytes], Awaitable[str]]
+    async def _handle_adapter_request(
+        self, exchange: Exchange, command: Callable[[bytes], Awaitable[str]]
     ) -> None:
         try:
             self._check_fence(exchange)
-            text = await order(exchange.request.body)
-        except OrderError as error:
+            text = await command(exchange.request.body)
+        except AdapterRequestError as error:
             self._ledger.add(RecordKind.ORDER_REFUSED, detail=str(error))
             body = protocol.render_error(error.status, str(error))
             await respond_json(exchange, error.status, body)
@@ -264,69 +271,73 @@
         if not self._faults.fencing or token is None:
             return
         if not token.isdigit():
-            raise OrderError(400, "X-Fencing-Token is no number.")
-        if int(token) < self._fence:
-            raise OrderError(409, f"Fencing token {token} is older than {self._fence}.")
-        self._fence = int(token)
+            raise AdapterRequestError(400, "X-Fencing-Token is not a number.")
+        if int(token) < self._highest_token:
+            raise AdapterRequestError(
+                409, f"Fencing token {token} is older than {self._highest_token}."
+            )
+        self._highest_token = int(token)
 
     async def _load(self, body: bytes) -> str:
-        order = msgspec.json.decode(body, type=protocol.LoadOrder)
-        self._engine.begin_load(order.lora_name)
+        command = msgspec.json.decode(body, type=protocol.LoadRequest)
+        self._engine.begin_load(command.lora_name)
         try:
-            weights = await self._fetch(order.lora_path)
-        except OrderError as error:
-            self._engine.abandon_load(order.lora_name)
-            self._note_load(RecordKind.LOAD_FAILED, order, "", str(error))
+            weights = await self._fetch(command.lora_path)
+        except AdapterRequestError as error:
+            self._engine.cancel_load(command.lora_name)
+            self._record_load(RecordKind.LOAD_FAILED, command, "", str(error))
             raise
-        done = f"Success: LoRA adapter '{order.lora_name}' added successfully."
+        message = f"Success: LoRA adapter '{command.lora_name}' added successfully."
         if self._random.random() < self._faults.false_load:
-            self._engine.abandon_load(order.lora_name)
-            self._note_load(RecordKind.LOAD_FAILED, order, "", "false success")
-            return done
-        self._engine.finish_load(order.lora_name, weights)
-        self._note_load(RecordKind.LOADED, order, weights, order.lora_path)
-        return done
+            self._engine.cancel_load(command.lora_name)
+            self._record_load(RecordKind.LOAD_FAILED, command, "", "false success")
+            return message
+        self._engine.finish_load(command.lora_name, weights)
+        self._record_load(RecordKind.LOADED, command, weights, command.lora_path)
+        return message
 
     async def _fetch(self, path: str) -> str:
         fails = self._random.random() < self._faults.load_failure
-        source = "/".join(path.rstrip("/").split("/")[-2:])
+        weights_path = "/".join(path.rstrip("/").split("/")[-2:])
         try:
             connection = await ClientConnection.open(self._store)
             try:
-                answer = await connection.ask("GET", f"/adapters/{source}")
+                answer = await connection.ask("GET", f"/adapters/{weights_path}")
                 weights = (await answer.read()).decode()
             finally:
                 connection.close()
         except IbisheadError as error:
-            raise OrderError(500, f"Loading lora {path} failed: {error}") from error
+            raise AdapterRequestError(
+                500, f"Loading lora {path} failed: {error}"
+            ) from error
         if fails or answer.status != 200:
-            raise OrderError(500, f"Loading lora {path} failed.")
+            raise AdapterRequestError(500, f"Loading lora {path} failed.")
         return weights
 
     async def _unload(self, body: bytes) -> str:
-        order = msgspec.json.decode(body, type=protocol.UnloadOrder)
-        harmed = self._engine.unload(order.lora_name)
-        self._ledger.add(RecordKind.UNLOADED, asked=order.lora_name)
-        for generation in harmed:
-            self._note(RecordKind.VIOLATION, generation)
-        self._wake(harmed)
-        return f"Success: LoRA adapter '{order.lora_name}' removed successfully."
-
-    def _note_load(
-        self, kind: RecordKind, order: protocol.LoadOrder, weights: str, detail: str
+        command = msgspec.json.decode(body, type=protocol.UnloadRequest)
+        aborted = self._engine.unload(command.lora_name)
+        self._ledger.add(RecordKind.UNLOADED, asked=command.lora_name)
+        for generation in aborted:
+            self._record(RecordKind.VIOLATION, generation)
+        self._notify_progress(aborted)
+        return f"Success: LoRA adapter '{command.lora_name}' removed successfully."
+
+    def _record_load(
+        self, kind: RecordKind, command: protocol.LoadRequest, weights: str, detail: str
     ) -> None:
-        self._ledger.add(kind, asked=order.lora_name, served=weights, detail=detail)
+        self._ledger.add(kind, asked=command.lora_name, served=weights, detail=detail)
 
-    # Reports -----------------------------------------------------------------
+    # Metrics -----------------------------------------------------------------
 
     def _render_metrics(self) -> str:
         now = self._clock.monotonic()
-        if now - self._metrics_at >= REPORT_LAG:
+        if now - self._metrics_at >= METRICS_CACHE_SECONDS:
             self._metrics_at = now
             self._metrics = protocol.render_metrics(
                 self._engine,
                 self._started,
                 self._clock.now().timestamp(),
-                self._faults.lies_about_load,
+                self._faults.reports_idle,
             )
         return self._metrics
--- a/src/ibishead/standin/events.py
+++ b/src/ibishead/standin/events.py
@@ -1,4 +1,4 @@
-"""Cache events as engines publish them: late, and with gaps."""
+"""Prefix cache events, published with a delay and with gaps as engines do."""
 
 from collections import deque
 
@@ -6,19 +6,22 @@
 
 __all__ = ["CacheEvent", "CacheEvents"]
 
-#: Seconds between a change of the cache and its event.
-EVENT_DELAY = 0.5
+#: Seconds between a change of the cache and the publication of its event.
+EVENT_DELAY_SECONDS = 0.5
 
-#: Every so many events one is lost.
-GAP_EVERY = 10
+#: One event out of this number is lost.
+LOST_EVENT_INTERVAL = 10
 
-EVENTS_KEPT = 1_000
+#: Maximum number of stored events; older ones are dropped.
+MAX_EVENTS = 1_000
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """A prompt prefix that entered the cache.
+    """Addition of a prompt prefix to the cache.
 
-    :param sequence: rises by one; a missing number is a lost event.
+    :param sequence: increases by one per event; a gap indicates a lost event.
+    :param at: POSIX time of the change, in seconds.
+    :param served: adapter and version that the prefix was computed with.
     """
 
     sequence: int
@@ -28,19 +31,21 @@
 
 
 class CacheEvents:
-    """Events that may be shown by now."""
+    """Bounded buffer of cache events with delayed publication."""
 
     def __init__(self) -> None:
-        self._events: deque[CacheEvent] = deque(maxlen=EVENTS_KEPT)
-        self._next = 0
+        self._events: deque[CacheEvent] = deque(maxlen=MAX_EVENTS)
+        self._next_sequence = 0
 
     def add(self, now: float, served: str, prefix: str) -> None:
-        """Note a cached prefix; some are lost."""
-        sequence = self._next
-        self._next += 1
-        if sequence % GAP_EVERY != GAP_EVERY - 1:
+        """Add an event for a cached prefix, unless it is one of the lost events."""
+        sequence = self._next_sequence
+        self._next_sequence += 1
+        if sequence % LOST_EVENT_INTERVAL != LOST_EVENT_INTERVAL - 1:
             self._events.append(CacheEvent(sequence, now, served, prefix))
 
     def list_visible(self, now: float) -> list[CacheEvent]:
-        """Return the events that are old enough to be published."""
-        return [event for event in self._events if now - event.at >= EVENT_DELAY]
+        """Return the events whose publication delay has passed."""
+        return [
+            event for event in self._events if now - event.at >= EVENT_DELAY_SECONDS
+        ]
--- a/src/ibishead/standin/ledger.py
+++ b/src/ibishead/standin/ledger.py
@@ -1,7 +1,8 @@
-"""What a stand-in saw and did, for tests to compare with what callers were told.
+"""Ledger of the requests that a stand-in received and executed.
 
-With a file the ledger outlives the process: each record is one JSON line, written
-before the stand-in acts on it, so that a killed target's executions still count.
+Tests compare it with the responses that callers received. A ledger with a file
+survives the process: each record is one line of JSON, written before the stand-in acts
+on it, so that executions of a killed target are still counted.
 """
 
 from collections import Counter, deque
@@ -14,12 +15,16 @@
 
 __all__ = ["Ledger", "Record", "RecordKind", "read_ledger_file"]
 
-#: Records kept in memory; a bounded load generator stays far below.
-RECORDS_KEPT = 200_000
+#: Maximum number of records in memory, far above what a bounded load generator causes.
+MAX_RECORDS = 200_000
 
 
 class RecordKind(Enum):
-    """What a record is about."""
+    """Type of a record.
+
+    `ORDER_REFUSED` is a rejected request to load or unload an adapter; `VIOLATION` is a
+    request that was aborted because its adapter was unloaded.
+    """
 
     RECEIVED = "received"
     STARTED = "started"
@@ -34,13 +39,13 @@
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One thing that happened.
+    """One recorded event.
 
-    :param at: POSIX seconds.
-    :param request: the request's `x-request-id`, empty if it had none.
-    :param key: its `idempotency-key`.
-    :param asked: the model or adapter named by the request or order.
-    :param served: the adapter and version that really answered.
+    :param at: POSIX time in seconds.
+    :param request: `x-request-id` of the request; empty if it has none.
+    :param key: `idempotency-key` of the request; empty if it has none.
+    :param asked: model or adapter named in the request.
+    :param served: adapter and version that produced the response.
     """
 
     at: float
@@ -52,7 +57,7 @@
     detail: str = ""
 
 
-class _Page(msgspec.Struct):
+class _LedgerResponse(msgspec.Struct):
     counts: dict[str, int]
     executions_by_request: dict[str, int]
     executions_by_key: dict[str, int]
@@ -61,14 +66,14 @@
 
 
 class Ledger:
-    """Records in order, counted.
+    """Records in chronological order, with counters.
 
-    :param file: also append each record there, as one JSON line.
+    :param file: file to which each record is appended as one line of JSON.
     """
 
     def __init__(self, clock: Clock, file: Path | None = None) -> None:
         self._clock = clock
-        self._records: deque[Record] = deque(maxlen=RECORDS_KEPT)
+        self._records: deque[Record] = deque(maxlen=MAX_RECORDS)
         self._counts: Counter[str] = Counter()
         self._by_request: Counter[str] = Counter()
         self._by_key: Counter[str] = Counter()
@@ -76,7 +81,7 @@
 
     @property
     def records(self) -> tuple[Record, ...]:
-        """All records still kept, oldest first."""
+        """The records in memory, oldest first."""
         return tuple(self._records)
 
     def add(
@@ -89,7 +94,7 @@
         served: str = "",
         detail: str = "",
     ) -> None:
-        """Note what happens now."""
+        """Add a record with the current time."""
         now = self._clock.now().timestamp()
         record = Record(now, kind, request, key, asked, served, detail)
         self._records.append(record)
@@ -101,30 +106,34 @@
             self._file.write(msgspec.json.encode(record) + b"\n")
 
     def count(self, kind: RecordKind) -> int:
-        """Return how many records of the kind there were."""
+        """Return the number of records of a kind, including ones not in memory."""
         return self._counts[kind.value]
 
     def count_executions(self, *, request: str = "", key: str = "") -> int:
-        """Return how often this life has started the key, or else the request."""
+        """Return how often this process started to execute a request.
+
+        :param request: request id, used if there is no key.
+        :param key: idempotency key.
+        """
         return self._by_key[key] if key else self._by_request[request]
 
     def encode(self) -> bytes:
         """Return the ledger as JSON."""
         violations = [r for r in self._records if r.kind is RecordKind.VIOLATION]
-        page = _Page(
+        response = _LedgerResponse(
             dict(self._counts),
             dict(self._by_request),
             dict(self._by_key),
             violations,
             list(self._records),
         )
-        return msgspec.json.encode(page)
+        return msgspec.json.encode(response)
 
 
 def read_ledger_file(file: Path) -> list[Record]:
-    """Return the records of all lives of a stand-in that wrote to the file.
+    """Return the records of all processes that have written to a ledger file.
 
-    A last line that a kill cut off is left out.
+    An incomplete last line, left by a killed process, is ignored.
     """
     lines = file.read_bytes().split(b"\n")[:-1]
     return [msgspec.json.decode(line, type=Record) for line in lines]
--- a/src/ibishead/standin/load.py
+++ b/src/ibishead/standin/load.py
@@ -1,4 +1,4 @@
-"""Load generator: callers of the entry hosts, bounded in count and time."""
+"""Load generator that calls entry hosts, limited in number of calls and time."""
 
 import asyncio
 import time
@@ -16,8 +16,8 @@
     CallKind,
     Mix,
     Verdict,
-    judge_failure,
-    judge_text,
+    classify_failure,
+    classify_text,
     parse_content,
     plan_calls,
     split_events,
@@ -26,27 +26,30 @@
 
 __all__ = ["CallResult", "Caller", "Histogram", "Summary", "generate_load"]
 
-#: Upper bounds of the histograms' buckets, in seconds.
+#: Upper bounds of the histogram buckets, in seconds.
 BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 60)
 
-#: Calls that may be open at once; more wait for their turn.
-MOST_OPEN = 2_000
+#: Maximum number of concurrent calls; further calls are queued.
+MAX_OPEN_CALLS = 2_000
 
-#: Seconds between a lost answer and the resend under the same key.
-RESEND_PAUSE = 0.2
+#: Delay before a call is resent with the same idempotency key, if the response has no
+#: `retry-after` header.
+RESEND_DELAY_SECONDS = 0.2
 
-#: Longest pause in seconds that a caller keeps when it is told one.
-MOST_PAUSE = 2.0
+#: Upper limit of the delay that a `retry-after` header can request.
+MAX_RESEND_DELAY_SECONDS = 2.0
 
 
 @dataclass
 class CallResult:
-    """What one call's caller saw.
+    """Result of one call as seen by its caller.
 
-    :param code: the error code of an answer without success.
+    :param status: HTTP status of the last response; 0 if there was none.
+    :param code: error code of the response, or class name of the connection error.
     :param first_token: seconds from sending to the first token; streams only.
-    :param gaps: seconds between the events of a stream.
-    :param sends: how often it was sent.
+    :param gaps: seconds between successive tokens of a stream.
+    :param seconds: total duration of the call including resends.
+    :param sends: number of times the call was sent.
     """
 
     call: Call
@@ -62,7 +65,11 @@
 
 
 class Histogram(msgspec.Struct):
-    """Counts up to each bound, and quantiles of all values, in seconds."""
+    """Distribution of durations in seconds.
+
+    :param most: maximum.
+    :param buckets: cumulative counts by upper bound.
+    """
 
     count: int
     p50: float
@@ -73,7 +80,12 @@
 
 
 class Summary(msgspec.Struct):
-    """What all callers saw together."""
+    """Aggregated results of all calls.
+
+    :param sent: number of calls.
+    :param seconds: duration of the run.
+    :param tokens: tokens received in streams.
+    """
 
     sent: int
     verdicts: dict[str, int]
@@ -86,13 +98,13 @@
 
 
 class Caller:
-    """Sends calls to entry hosts over kept connections.
+    """Sends calls to entry hosts over persistent connections.
 
-    :param key: the caller's key, sent as a bearer token.
-    :param timeout: seconds for one sending.
-    :param resends: how often a call with an idempotency key is sent again, each time
-        through the next entry host, when its answer was lost or its outcome is
-        unknown and the caller is told when to come back.
+    :param key: API key of the caller, sent as a bearer token.
+    :param timeout: seconds allowed for each send.
+    :param resends: maximum number of resends of a call with an idempotency key, each
+        through the next entry host. A call is resent when its response was lost, or
+        when its outcome is unknown and the response has a `retry-after` header.
     """
 
     def __init__(
@@ -109,12 +121,12 @@
         self._idle: dict[Endpoint, list[ClientConnection]] = {e: [] for e in entries}
 
     async def call(self, call: Call) -> CallResult:
-        """Send a call until its outcome is known or the resends are used up."""
+        """Send a call and resend it until its outcome is known or no resend is left."""
         result = CallResult(call)
         begin = time.monotonic()
         for resend in range(1 + (self._resends if call.key else 0)):
             if resend:
-                await asyncio.sleep(_find_pause(result))
+                await asyncio.sleep(_find_resend_delay(result))
             entry = self._entries[(call.number + resend) % len(self._entries)]
             result.sends += 1
             await self._send(entry, result)
@@ -124,7 +136,7 @@
         return result
 
     def close(self) -> None:
-        """Drop all kept connections."""
+        """Close all idle connections."""
         for connections in self._idle.values():
             for connection in connections:
                 connection.close()
@@ -162,7 +174,7 @@
         result.status, result.headers = answer.status, answer.headers
         if answer.status != 200:
             body = await answer.read()
-            result.verdict = judge_failure(answer.headers)
+            result.verdict = classify_failure(answer.headers)
             result.code = _find_code(body)
         elif call.kind is CallKind.STREAM:
             await _read_stream(answer, result, sent)
@@ -170,7 +182,7 @@
             data = (await answer.read()).decode("utf-8", "replace")
             plain = call.kind is CallKind.PLAIN
             result.text = data if plain else parse_content(data)
-            result.verdict = judge_text(call, result.text)
+            result.verdict = classify_text(call, result.text)
 
 
 def _may_resend(result: CallResult) -> bool:
@@ -182,14 +194,18 @@
     return False
 
 
-def _find_pause(result: CallResult) -> float:
-    told = find_header(result.headers, "retry-after")
-    return min(float(told), MOST_PAUSE) if told else RESEND_PAUSE
+def _find_resend_delay(result: CallResult) -> float:
+    retry_after = find_header(result.headers, "retry-after")
+    return (
+        min(float(retry_after), MAX_RESEND_DELAY_SECONDS)
+        if retry_after
+        else RESEND_DELAY_SECONDS
+    )
 
 
 async def _read_stream(answer: ClientAnswer, result: CallResult, sent: float) -> None:
-    buffer, done, failed, last = b"", False, False, sent
-    pieces: list[str] = []
+    buffer, done, failed, last_token = b"", False, False, sent
+    tokens: list[str] = []
     async for chunk in answer.chunks:
         events, buffer = split_events(buffer + chunk)
         now = time.monotonic()
@@ -202,13 +218,13 @@
             if result.first_token is None:
                 result.first_token = now - sent
             else:
-                result.gaps.append(now - last)
-            last = now
-            pieces.append(content)
-    result.text = "".join(pieces)
-    verdict = judge_text(result.call, result.text)
+                result.gaps.append(now - last_token)
+            last_token = now
+            tokens.append(content)
+    result.text = "".join(tokens)
+    verdict = classify_text(result.call, result.text)
     if failed and verdict is Verdict.CUT:
-        # The caller is told that the rest won't come
+        # The error event reports that the stream will not be completed
         verdict = Verdict.UNKNOWN
     elif verdict is Verdict.WHOLE and not done:
         verdict = Verdict.CUT
@@ -225,18 +241,18 @@
 async def generate_load(
     caller: Caller, mix: Mix, duration: float, stop: asyncio.Event | None = None
 ) -> tuple[Summary, list[CallResult]]:
-    """Send a mix of calls.
+    """Send the calls of a load configuration.
 
-    :param duration: seconds after which no further call is sent.
-    :param stop: once set, no further call is sent either.
-    :returns: the summary, and each call's result in order.
+    :param duration: seconds after which no further calls are started.
+    :param stop: event that also prevents further calls from being started.
+    :returns: the summary and the result of each call, in order of start.
     """
     begin = time.monotonic()
-    room = asyncio.Semaphore(MOST_OPEN)
+    open_calls = asyncio.Semaphore(MAX_OPEN_CALLS)
     tasks: list[asyncio.Task[CallResult]] = []
 
     async def send(call: Call) -> CallResult:
-        async with room:
+        async with open_calls:
             return await caller.call(call)
 
     for call in plan_calls(mix):
@@ -262,12 +278,20 @@
 
 
 def _build_histogram(values: list[float]) -> Histogram:
-    ordered = sorted(values) or [0.0]
+    sorted_values = sorted(values) or [0.0]
 
-    def pick(share: float) -> float:
-        return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))], 5)
+    def find_quantile(share: float) -> float:
+        return round(
+            sorted_values[min(len(sorted_values) - 1, int(share * len(sorted_values)))],
+            5,
+        )
 
     buckets = {str(b): sum(1 for v in values if v <= b) for b in BUCKETS}
     return Histogram(
-        len(values), pick(0.5), pick(0.9), pick(0.99), round(ordered[-1], 5), buckets
+        len(values),
+        find_quantile(0.5),
+        find_quantile(0.9),
+        find_quantile(0.99),
+        round(sorted_values[-1], 5),
+        buckets,
     )
--- a/src/ibishead/standin/main.py
+++ b/src/ibishead/standin/main.py
@@ -1,4 +1,4 @@
-"""Command line of the stand-ins, for tests, the demo and benchmarks only."""
+"""Command line of the stand-ins, used only by tests, the demo and benchmarks."""
 
 import asyncio
 from pathlib import Path
@@ -19,14 +19,14 @@
 
 __all__ = ["main"]
 
-_PORT = click.option("--port", type=int, default=0, help="0: the system chooses.")
+_PORT = click.option("--port", type=int, default=0, help="0: chosen by the system.")
 _PORT_FILE = click.option(
-    "--port-file", type=click.Path(path_type=Path), help="Where to write the port."
+    "--port-file", type=click.Path(path_type=Path), help="File to write the port to."
 )
 _LEDGER_FILE = click.option(
     "--ledger-file",
     type=click.Path(path_type=Path),
-    help="Append the ledger there, across restarts.",
+    help="File to append the ledger to; it survives restarts.",
 )
 
 
@@ -39,12 +39,12 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> Endpoint:
-        """Return the endpoint that the text names."""
+        """Return the endpoint given as ADDRESS:PORT."""
         if isinstance(value, Endpoint):
             return value
         address, _, port = str(value).rpartition(":")
         if not address or not port.isdigit():
-            self.fail(f"{value!r} is no ADDRESS:PORT", param, ctx)
+            self.fail(f"{value!r} is not of the form ADDRESS:PORT", param, ctx)
         return Endpoint(address.strip("[]"), int(port))
 
 
@@ -53,7 +53,7 @@
 
 @click.group()
 def main() -> None:
-    """Stand in for engines, plain services, the weight store and callers."""
+    """Run a stand-in for an engine, a plain service, the weight store or callers."""
 
 
 @main.command()
@@ -65,12 +65,14 @@
 @click.option("--slots", type=click.IntRange(0), default=8)
 @click.option("--batch", type=click.IntRange(1), default=8)
 @click.option("--store", type=ENDPOINT, required=True)
-@click.option("--fencing", is_flag=True, help="Refuse old fencing numbers.")
+@click.option("--fencing", is_flag=True, help="Reject outdated fencing numbers.")
 @click.option("--token-time", type=float, default=0.005, help="Seconds.")
-@click.option("--load-failure", type=float, default=0.0, help="Share of loads.")
-@click.option("--false-load", type=float, default=0.0, help="Share of loads.")
+@click.option(
+    "--load-failure", type=float, default=0.0, help="Share of loads that fail."
+)
+@click.option("--false-load", type=float, default=0.0, help="Share of false successes.")
 @click.option("--lie-about-load", is_flag=True, help="Always report idle.")
-@click.option("--ignores-unknown-adapter", is_flag=True, help="Serve by the base.")
+@click.option("--ignores-unknown-adapter", is_flag=True, help="Use the base model.")
 @click.option("--seed", type=int, default=1)
 def engine(
     port: int,
@@ -89,7 +91,7 @@
     ignores_unknown_adapter: bool,
     seed: int,
 ) -> None:
-    """Stand in for an OpenAI-compatible engine with dynamic LoRA."""
+    """Run a stand-in for an OpenAI-compatible engine with dynamic LoRA adapters."""
     options = EngineOptions(model, slots, batch, token_time, ignores_unknown_adapter)
     faults = Faults(load_failure, false_load, lie_about_load, fencing, seed)
     asyncio.run(_run_engine(options, faults, store, port, port_file, ledger_file))
@@ -105,9 +107,9 @@
 ) -> None:
     clock = SystemClock()
     server = EngineServer(options, faults, store, Ledger(clock, ledger_file), clock)
-    steps = asyncio.create_task(server.run())
+    engine_task = asyncio.create_task(server.run())
     await serve_until_stopped(server.handle, port, port_file)
-    steps.cancel()
+    engine_task.cancel()
 
 
 @main.command()
@@ -115,7 +117,7 @@
 @_PORT_FILE
 @_LEDGER_FILE
 @click.option("--name", default="plain", help="Shown in answers.")
-@click.option("--delay", type=float, default=0.0, help="Seconds of one execution.")
+@click.option("--delay", type=float, default=0.0, help="Seconds per execution.")
 def plain(
     port: int,
     port_file: Path | None,
@@ -123,7 +125,7 @@
     name: str,
     delay: float,
 ) -> None:
-    """Stand in for a plain service with an execution ledger."""
+    """Run a stand-in for a plain service with an execution ledger."""
     clock = SystemClock()
     ledger = Ledger(clock, ledger_file)
     service = PlainService(name, delay, ledger, clock.now().timestamp())
@@ -134,9 +136,14 @@
 @_PORT
 @_PORT_FILE
 @_LEDGER_FILE
-@click.option("--load-time", type=float, default=0.25, help="Seconds of one load.")
-@click.option("--in-flight", type=click.IntRange(1), default=8, help="At full speed.")
-@click.option("--rate", type=float, default=4.0, help="Loads a second; 0: no limit.")
+@click.option("--load-time", type=float, default=0.25, help="Seconds per load.")
+@click.option(
+    "--in-flight",
+    type=click.IntRange(1),
+    default=8,
+    help="Concurrent loads at full speed.",
+)
+@click.option("--rate", type=float, default=4.0, help="Loads per second; 0: no limit.")
 def store(
     port: int,
     port_file: Path | None,
@@ -145,7 +152,7 @@
     in_flight: int,
     rate: float,
 ) -> None:
-    """Stand in for the rate-limited weight store."""
+    """Run a stand-in for the rate-limited weight store."""
     clock = SystemClock()
     ledger = Ledger(clock, ledger_file)
     server = Store(StoreOptions(load_time, in_flight, rate), ledger, clock)
@@ -154,13 +161,17 @@
 
 @main.command()
 @click.option("--entry", type=ENDPOINT, multiple=True, required=True)
-@click.option("--key", default="", help="The caller's key.")
+@click.option("--key", default="", help="API key of the caller.")
 @click.option("--service", default="", help="Service of the model calls.")
-@click.option("--adapter", multiple=True, help="NAME@VERSION, most popular first.")
+@click.option(
+    "--adapter", multiple=True, help="NAME@VERSION, most frequently requested first."
+)
 @click.option("--count", type=click.IntRange(1, 100_000), default=20)
 @click.option("--duration", type=click.FloatRange(0, 600), default=60.0)
-@click.option("--rate", type=float, default=0.0, help="Calls a second; 0: at once.")
-@click.option("--zipf", type=float, default=1.0, help="Skew over the adapters.")
+@click.option(
+    "--rate", type=float, default=0.0, help="Calls per second; 0: all at once."
+)
+@click.option("--zipf", type=float, default=1.0, help="Zipf exponent of the adapters.")
 @click.option("--streams", type=click.FloatRange(0, 1), default=0.5, help="Share.")
 @click.option("--max-tokens", type=click.IntRange(1), default=16)
 @click.option("--plain-service", default="", help="Service of the plain calls.")
@@ -187,7 +198,7 @@
     timeout: float,
     seed: int,
 ) -> None:
-    """Call the entry hosts and print what the callers saw, as JSON."""
+    """Send calls to the entry hosts and print a summary of the results as JSON."""
     mix = Mix(
         service=service,
         adapters=adapter,
--- a/src/ibishead/standin/plain.py
+++ b/src/ibishead/standin/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: it echoes, and its ledger counts executions."""
+"""Stand-in for a plain service that echoes requests and counts executions."""
 
 import asyncio
 
@@ -13,10 +13,10 @@
 
 
 class Echo(msgspec.Struct):
-    """What the service answers with.
+    """Response body of the service.
 
-    :param execution: 1 for the first execution under this request's key, or under
-        its id if it has no key.
+    :param execution: number of executions with the idempotency key of the request, or
+        with its request id if it has no key; 1 for the first.
     """
 
     service: str
@@ -29,9 +29,11 @@
 
 
 class PlainService:
-    """Answers any method and path; each answer stands for one execution.
+    """Executes requests of any method and path, and echoes them.
 
-    :param delay: seconds between the execution's start and its answer.
+    :param delay: seconds between the start of an execution and its response.
+    :param ledger: records the executions.
+    :param started: POSIX time of the process start, in seconds.
     """
 
     def __init__(self, name: str, delay: float, ledger: Ledger, started: float) -> None:
@@ -41,7 +43,7 @@
         self._started = started
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Respond to one request."""
         match exchange.request.path:
             case "/standin/ledger":
                 await respond_json(exchange, 200, self._ledger.encode())
@@ -55,15 +57,15 @@
 
     async def _execute(self, exchange: Exchange) -> None:
         request = exchange.request
-        number = find_header(request.headers, "x-request-id") or ""
+        request_id = find_header(request.headers, "x-request-id") or ""
         key = find_header(request.headers, "idempotency-key") or ""
         asked = f"{request.method} {request.target}"
-        # The effect counts from its start: an answer that is lost later doesn't
-        # take it back
-        self._ledger.add(RecordKind.STARTED, request=number, key=key, asked=asked)
-        execution = self._ledger.count_executions(request=number, key=key)
+        # An execution counts from its start: a response that is lost later does not
+        # undo its effect
+        self._ledger.add(RecordKind.STARTED, request=request_id, key=key, asked=asked)
+        execution = self._ledger.count_executions(request=request_id, key=key)
         await asyncio.sleep(self._delay)
-        self._ledger.add(RecordKind.FINISHED, request=number, key=key, asked=asked)
+        self._ledger.add(RecordKind.FINISHED, request=request_id, key=key, asked=asked)
         echo = _render(self._name, request, execution)
         await respond_json(exchange, 200, msgspec.json.encode(echo))
 
--- a/src/ibishead/standin/protocol.py
+++ b/src/ibishead/standin/protocol.py
@@ -1,4 +1,4 @@
-"""The published protocol of an OpenAI-compatible engine: bodies in and out."""
+"""Request and response bodies of the HTTP API of an OpenAI-compatible engine."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,9 +9,9 @@
 
 __all__ = [
     "Completion",
-    "DONE_LINE",
-    "LoadOrder",
-    "UnloadOrder",
+    "DONE_EVENT",
+    "LoadRequest",
+    "UnloadRequest",
     "decode_completion",
     "render_answer",
     "render_chunk",
@@ -20,14 +20,14 @@
     "render_models",
 ]
 
-#: Ends a stream of server-sent events.
-DONE_LINE = b"data: [DONE]\n\n"
+#: Last event of a stream of server-sent events.
+DONE_EVENT = b"data: [DONE]\n\n"
 
-#: Tokens of an answer whose request names no limit.
+#: Token limit of requests that specify none.
 DEFAULT_MAX_TOKENS = 16
 
-#: More than this is cut, so that a stand-in's work is bounded.
-MOST_TOKENS = 100_000
+#: Upper bound of the token limit, so that the work per request is bounded.
+MAX_TOKENS = 100_000
 
 
 class _ChatMessage(msgspec.Struct):
@@ -45,14 +45,14 @@
     priority: int = 0
 
 
-class LoadOrder(msgspec.Struct):
+class LoadRequest(msgspec.Struct):
     """Body of ``/v1/load_lora_adapter``."""
 
     lora_name: str
     lora_path: str
 
 
-class UnloadOrder(msgspec.Struct):
+class UnloadRequest(msgspec.Struct):
     """Body of ``/v1/unload_lora_adapter``."""
 
     lora_name: str
@@ -60,14 +60,16 @@
 
 @dataclass(frozen=True)
 class Completion:
-    """What a chat or text completion asks for.
+    """Decoded request for a chat or text completion.
 
-    :param word: the last word of the prompt.
-    :param prompt_words: length of the prompt.
+    :param marker: last word of the prompt.
+    :param prompt_words: number of words in the prompt.
+    :param max_tokens: tokens to produce.
+    :param chat: whether the request uses the chat API.
     """
 
     model: str
-    word: str
+    marker: str
     prompt_words: int
     max_tokens: int
     stream: bool
@@ -76,9 +78,9 @@
 
 
 def decode_completion(body: bytes, chat: bool) -> Completion:
-    """Return what a request's body asks for.
+    """Decode the body of a completion request.
 
-    :raises msgspec.DecodeError: the body is of another shape.
+    :raises msgspec.DecodeError: the body is not a valid completion request.
     """
     decoded = msgspec.json.decode(body, type=_CompletionBody)
     if chat:
@@ -91,7 +93,7 @@
         decoded.model,
         words[-1] if words else "empty",
         len(words),
-        max(1, min(limit, MOST_TOKENS)),
+        max(1, min(limit, MAX_TOKENS)),
         decoded.stream,
         decoded.priority,
         chat,
@@ -101,7 +103,7 @@
 def render_chunk(
     generation: Generation, completion: Completion, text: str, created: int, last: bool
 ) -> bytes:
-    """Return one server-sent event of a stream."""
+    """Return one server-sent event of a streamed response."""
     choice: dict[str, Any] = {"index": 0}
     if completion.chat:
         choice["delta"] = {"role": "assistant", "content": text}
@@ -109,14 +111,14 @@
         choice["text"] = text
     choice["finish_reason"] = "length" if last else None
     kind = "chat.completion.chunk" if completion.chat else "text_completion"
-    chunk = _render_head(generation, kind, created) | {"choices": [choice]}
+    chunk = _build_common_fields(generation, kind, created) | {"choices": [choice]}
     return b"data: " + msgspec.json.encode(chunk) + b"\n\n"
 
 
 def render_answer(
     generation: Generation, completion: Completion, text: str, created: int
 ) -> bytes:
-    """Return the body of an answer that isn't streamed."""
+    """Return the body of a response that is not streamed."""
     choice: dict[str, Any] = {"index": 0}
     if completion.chat:
         choice["message"] = {"role": "assistant", "content": text}
@@ -129,31 +131,32 @@
         "total_tokens": completion.prompt_words + generation.produced,
     }
     kind = "chat.completion" if completion.chat else "text_completion"
-    head = _render_head(generation, kind, created)
-    return msgspec.json.encode(head | {"choices": [choice], "usage": usage})
+    common_fields = _build_common_fields(generation, kind, created)
+    return msgspec.json.encode(common_fields | {"choices": [choice], "usage": usage})
 
 
 def render_error(status: int, message: str) -> bytes:
-    """Return an error's JSON body."""
+    """Return the JSON body of an error response."""
     kind = "NotFoundError" if status == 404 else "BadRequestError"
     error = {"message": message, "type": kind, "param": None, "code": status}
     return msgspec.json.encode({"error": error})
 
 
 def render_models(engine: Engine, created: int) -> bytes:
-    """Return the base model and the loaded adapters."""
+    """Return the list of the base model and the loaded adapters."""
     model = engine.options.model
-    cards = [_render_card(model, model, None, created)]
+    entries = [_build_model_entry(model, model, None, created)]
     for name, weights in engine.loaded.items():
-        cards.append(_render_card(name, weights, model, created))
-    return msgspec.json.encode({"object": "list", "data": cards})
+        entries.append(_build_model_entry(name, weights, model, created))
+    return msgspec.json.encode({"object": "list", "data": entries})
 
 
 def render_metrics(engine: Engine, started: float, now: float, idle: bool) -> str:
-    """Return metrics as Prometheus text.
+    """Return the metrics in the Prometheus text format.
 
-    :param started: POSIX seconds of the process's start.
-    :param idle: pretend that nothing runs.
+    :param started: POSIX time of the process start, in seconds.
+    :param now: current POSIX time in seconds.
+    :param idle: report an idle engine, whatever is running.
     """
     label = f'{{model_name="{engine.options.model}"}}'
     running, waiting = (0, 0) if idle else (engine.running, engine.waiting)
@@ -171,17 +174,19 @@
     )
 
 
-def _render_head(generation: Generation, kind: str, created: int) -> dict[str, Any]:
+def _build_common_fields(
+    generation: Generation, kind: str, created: int
+) -> dict[str, Any]:
     prefix = "chatcmpl" if kind.startswith("chat") else "cmpl"
     return {
-        "id": f"{prefix}-{generation.request}",
+        "id": f"{prefix}-{generation.request_id}",
         "object": kind,
         "created": created,
-        "model": generation.asked,
+        "model": generation.model,
     }
 
 
-def _render_card(
+def _build_model_entry(
     name: str, root: str, parent: str | None, created: int
 ) -> dict[str, Any]:
     return {
--- a/tests/processes/promises.py
+++ b/tests/processes/promises.py
@@ -58,7 +58,7 @@
 def _describe(result: CallResult) -> str:
     call = result.call
     return (
-        f"{call.kind.value} {call.word} to {call.model or call.path}: "
+        f"{call.kind.value} {call.marker} to {call.model or call.path}: "
         f"{result.verdict.value} {result.code}, status {result.status}, "
         f"{len(result.text)} of {len(call.expected)} characters, sent "
         f"{result.sends} times, {result.seconds:.2f} s, request "
--- a/tests/processes/test_silence.py
+++ b/tests/processes/test_silence.py
@@ -6,7 +6,7 @@
 from tests.processes.striking import run_under_load
 
 from ibishead.standin.calls import Verdict
-from ibishead.standin.protocol import DONE_LINE
+from ibishead.standin.protocol import DONE_EVENT
 
 #: How calls may end when the open connections of a path go silent. Between entry and
 #: agent answers are resumed, so all are whole. What a target still did on a silent
@@ -38,7 +38,7 @@
 
     async def swallow_ends() -> None:
         for relay in fleet.relays:
-            relay.swallowed = DONE_LINE
+            relay.swallowed = DONE_EVENT
 
     results = await run_under_load(fleet, swallow_ends, rate=10.0)
     check_promises(fleet, results).keep(*ALLOWED[Hop.AGENT_TARGET])
--- a/tests/standin/test_calls.py
+++ b/tests/standin/test_calls.py
@@ -8,8 +8,8 @@
     CallKind,
     Mix,
     Verdict,
-    judge_failure,
-    judge_text,
+    classify_failure,
+    classify_text,
     plan_calls,
     split_events,
 )
@@ -39,7 +39,7 @@
 )
 def test_judges_text(text, verdict):
     [call] = plan_calls(Mix("mester", ("a@v1",), 1, max_tokens=2))
-    assert judge_text(call, text) is verdict
+    assert classify_text(call, text) is verdict
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
     ],
 )
 def test_judges_failures(headers, verdict):
-    assert judge_failure(headers) is verdict
+    assert classify_failure(headers) is verdict
 
 
 def test_splits_events():
--- a/tests/standin/test_engine.py
+++ b/tests/standin/test_engine.py
@@ -7,10 +7,10 @@
     EngineOptions,
     Generation,
     GenerationState,
-    OrderError,
+    AdapterRequestError,
     UnknownModelError,
 )
-from ibishead.standin.store import StoreOptions, StorePace
+from ibishead.standin.store import StoreOptions, LoadTiming
 
 
 def make_engine(**options) -> Engine:
@@ -58,7 +58,7 @@
     engine = make_engine()
     load(engine, "a")
     load(engine, "b")
-    with pytest.raises(OrderError) as caught:
+    with pytest.raises(AdapterRequestError) as caught:
         order(engine)
     assert caught.value.status == status
 
@@ -84,7 +84,7 @@
 
 
 def test_store_slows_beyond_its_limits():
-    pace = StorePace(StoreOptions())
+    pace = LoadTiming(StoreOptions())
     burst = [pace.begin(100.0) for _ in range(8)]
     assert burst == [0.25] * 8
     # The ninth waits for its start and shares the full speed of eight
