--- a/tests/standin/test_calls.py
+++ b/tests/standin/test_calls.py
@@ -1,4 +1,4 @@
-"""The load generator plans the same calls each time and judges answers strictly."""
+"""Tests of the call plan and the classification of responses in the load generator."""
 
 from collections import Counter
 
@@ -17,12 +17,12 @@
 ADAPTERS = tuple(f"loft-{n}@v1" for n in range(20))
 
 
-def test_plan_is_repeatable_and_skewed():
+def test_plan_is_deterministic_and_skewed():
     mix = Mix("mester", ADAPTERS, 500, rate=100.0, plain_share=0.2)
     calls = list(plan_calls(mix))
     assert calls == list(plan_calls(mix))
-    popular = Counter(call.adapter for call in calls if call.adapter)
-    assert popular["loft-0@v1"] > 3 * popular["loft-9@v1"]
+    counts = Counter(call.adapter for call in calls if call.adapter)
+    assert counts["loft-0@v1"] > 3 * counts["loft-9@v1"]
     keys = [call.key for call in calls if call.kind is CallKind.PLAIN]
     assert 50 < len(set(keys)) == len(keys) < 150
 
@@ -37,7 +37,7 @@
         ("base:w1x0:0 base:w1x0:1 ", Verdict.WRONG),
     ],
 )
-def test_judges_text(text, verdict):
+def test_classify_text(text, verdict):
     [call] = plan_calls(Mix("mester", ("a@v1",), 1, max_tokens=2))
     assert classify_text(call, text) is verdict
 
@@ -50,9 +50,9 @@
         ((), Verdict.FAILED),
     ],
 )
-def test_judges_failures(headers, verdict):
+def test_classify_failure(headers, verdict):
     assert classify_failure(headers) is verdict
 
 
-def test_splits_events():
+def test_split_events():
     assert split_events(b"data: a\n\ndata: b\n\nda") == (["a", "b"], b"da")
--- a/tests/standin/test_engine.py
+++ b/tests/standin/test_engine.py
@@ -1,16 +1,16 @@
-"""The engine model batches, honours priority and shows what really served."""
+"""Tests of the simulated engine's batching, priorities and adapter slots."""
 
 import pytest
 
 from ibishead.standin.engine import (
+    AdapterRequestError,
     Engine,
     EngineOptions,
     Generation,
     GenerationState,
-    AdapterRequestError,
     UnknownModelError,
 )
-from ibishead.standin.store import StoreOptions, LoadTiming
+from ibishead.standin.store import LoadTiming, StoreOptions
 
 
 def make_engine(**options) -> Engine:
@@ -28,25 +28,25 @@
     return generation
 
 
-def test_batch_is_bounded_and_priority_goes_first():
+def test_batch_is_bounded_and_ordered_by_priority():
     engine = make_engine()
-    late = [submit(engine, "base-model", 5) for _ in range(2)]
-    soon = [submit(engine, "base-model", 0) for _ in range(2)]
-    assert engine.step() == soon
-    assert engine.step() == late
+    low = [submit(engine, "base-model", 5) for _ in range(2)]
+    high = [submit(engine, "base-model", 0) for _ in range(2)]
+    assert engine.step() == high
+    assert engine.step() == low
     assert not engine.busy
 
 
 def test_step_time_grows_with_the_batch():
     engine = make_engine()
     submit(engine, "base-model", tokens=9)
-    alone = engine.compute_step_time()
+    single = engine.compute_step_time()
     submit(engine, "base-model", tokens=9)
-    assert engine.compute_step_time() > alone
+    assert engine.compute_step_time() > single
 
 
 @pytest.mark.parametrize(
-    ("order", "status"),
+    ("command", "status"),
     [
         (lambda e: load(e, "a"), 400),
         (lambda e: load(e, "c"), 400),
@@ -54,26 +54,26 @@
     ],
     ids=["already loaded", "no slot", "unknown"],
 )
-def test_orders_are_refused(order, status):
+def test_invalid_adapter_requests_are_rejected(command, status):
     engine = make_engine()
     load(engine, "a")
     load(engine, "b")
     with pytest.raises(AdapterRequestError) as caught:
-        order(engine)
+        command(engine)
     assert caught.value.status == status
 
 
-@pytest.mark.parametrize("ignores", [True, False])
-def test_unknown_adapter(ignores):
-    engine = make_engine(ignores_unknown_adapter=ignores)
-    if ignores:
+@pytest.mark.parametrize("ignored", [True, False])
+def test_unknown_adapter(ignored):
+    engine = make_engine(ignores_unknown_adapter=ignored)
+    if ignored:
         assert submit(engine, "gone").render_token(0) == "base:w:0 "
         return
     with pytest.raises(UnknownModelError):
         engine.resolve("gone")
 
 
-def test_unload_aborts_what_it_serves():
+def test_unload_aborts_requests_of_the_adapter():
     engine = make_engine()
     load(engine, "a")
     generation = submit(engine, "a", tokens=5)
@@ -83,12 +83,12 @@
     assert not engine.busy
 
 
-def test_store_slows_beyond_its_limits():
-    pace = LoadTiming(StoreOptions())
-    burst = [pace.begin(100.0) for _ in range(8)]
+def test_store_limits_rate_and_concurrency():
+    timing = LoadTiming(StoreOptions())
+    burst = [timing.begin(100.0) for _ in range(8)]
     assert burst == [0.25] * 8
-    # The ninth waits for its start and shares the full speed of eight
-    assert pace.begin(100.0) == pytest.approx(0.25 + 0.25 * 9 / 8)
+    # The ninth load waits for a token and is slowed down by the other eight
+    assert timing.begin(100.0) == pytest.approx(0.25 + 0.25 * 9 / 8)
     for _ in range(9):
-        pace.end()
-    assert pace.begin(200.0) == 0.25
+        timing.end()
+    assert timing.begin(200.0) == 0.25
--- a/tests/standin/test_servers.py
+++ b/tests/standin/test_servers.py
@@ -1,4 +1,4 @@
-"""The stand-ins speak their protocols over HTTP and keep honest ledgers."""
+"""Tests of the stand-ins' HTTP interfaces and ledgers."""
 
 import asyncio
 import contextlib
@@ -34,18 +34,18 @@
 async def run_engine(faults=None, **options):
     ledger = Ledger(CLOCK)
     store = Store(StoreOptions(load_time=0.0), Ledger(CLOCK), CLOCK)
-    async with serve(store.handle) as source:
+    async with serve(store.handle) as store_endpoint:
         engine = EngineServer(
             EngineOptions(token_time=0.001, **options),
             faults or Faults(),
-            source,
+            store_endpoint,
             ledger,
             CLOCK,
         )
-        steps = asyncio.create_task(engine.run())
+        engine_task = asyncio.create_task(engine.run())
         async with serve(engine.handle) as endpoint:
             yield endpoint, ledger
-        steps.cancel()
+        engine_task.cancel()
 
 
 async def ask(endpoint, method, path, body=None, headers=()):
@@ -69,7 +69,7 @@
     return {"model": model, "messages": [message], "max_tokens": tokens, **more}
 
 
-async def test_engine_loads_answers_and_streams():
+async def test_engine_loads_adapters_and_completes_requests():
     async with run_engine() as (engine, ledger):
         assert (await load(engine))[0] == 200
         assert (await load(engine))[0] == 400
@@ -97,7 +97,7 @@
         (Faults(false_load=1.0), 200, "base:net:0 "),
     ],
 )
-async def test_failed_load_serves_the_base_under_the_name(faults, status, served):
+async def test_base_model_serves_requests_after_failed_load(faults, status, served):
     async with run_engine(faults, ignores_unknown_adapter=True) as (engine, _):
         assert (await load(engine))[0] == status
         body = {"model": "cod@v1", "prompt": "net", "max_tokens": 1}
@@ -112,21 +112,21 @@
         assert (await load(engine, "b@1", token=6))[0] == status
 
 
-async def test_unload_while_serving_is_a_violation():
+async def test_unload_during_a_request_is_a_violation():
     async with run_engine() as (engine, ledger):
         await load(engine)
         body = chat("cod@v1", tokens=100_000)
-        asking = asyncio.create_task(ask(engine, "POST", "/v1/chat/completions", body))
+        pending = asyncio.create_task(ask(engine, "POST", "/v1/chat/completions", body))
         while not ledger.count(RecordKind.STARTED):
             await asyncio.sleep(0)
-        order = {"lora_name": "cod@v1"}
-        await ask(engine, "POST", "/v1/unload_lora_adapter", order)
+        unload = {"lora_name": "cod@v1"}
+        await ask(engine, "POST", "/v1/unload_lora_adapter", unload)
         with pytest.raises(LinkLost):
-            await asking
+            await pending
         assert ledger.count(RecordKind.VIOLATION) == 1
 
 
-async def test_caller_that_leaves_cancels():
+async def test_disconnect_cancels_the_request():
     async with run_engine() as (engine, ledger):
         connection = await ClientConnection.open(engine)
         body = msgspec.json.encode(chat("base-model", tokens=100_000, stream=True))
@@ -137,7 +137,7 @@
             await asyncio.sleep(0.001)
 
 
-async def test_plain_counts_executions_across_lives(tmp_path):
+async def test_ledger_file_counts_executions_across_restarts(tmp_path):
     file = tmp_path / "ledger"
     for _ in range(2):
         plain = PlainService("raktar", 0.0, Ledger(CLOCK, file), 0.0)
