--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import msgspec
-from tests.processes.fleet import Fleet, Shape
+from tests.processes.fleet import Fleet, FleetOptions
 from tests.processes.programs import LOOPBACK, Program, wait_until
 
 from benchmarks.process_usage import read_cpu, read_memory
@@ -130,10 +130,10 @@
     """Return what one adapter in a document costs each role."""
     before = await _watch(fleet)
     names = "".join(f"net-{n:05d} = v1\n" for n in range(ADAPTERS))
-    text = (await fleet.operate("GET", "/v1/documents/mester")).value["text"]
+    text = (await fleet.call_operator_api("GET", "/v1/documents/mester")).value["text"]
     document = str(text).replace("[adapters]\n", f"[adapters]\n{names}", 1)
     target = "/v1/documents/mester?base=1&submission=many"
-    reply = await fleet.operate("POST", target, document.encode())
+    reply = await fleet.call_operator_api("POST", target, document.encode())
     if reply.status != 200:
         raise SystemExit(f"the document was refused: {reply}")
     await fleet.wait_in_force(reply.value["index"])
@@ -237,7 +237,7 @@
 
 async def measure(folder: Path) -> Report:
     """Measure everything."""
-    fleet = Fleet(folder, Shape(entries=1, engines=1))
+    fleet = Fleet(folder, FleetOptions(entries=1, engines=1))
     try:
         await fleet.start()
         await fleet.submit_all()
--- a/benchmarks/bench_path.py
+++ b/benchmarks/bench_path.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import msgspec
-from tests.processes.fleet import Fleet, Shape
+from tests.processes.fleet import Fleet, FleetOptions
 from tests.processes.programs import LOOPBACK, Program
 from websockets.asyncio.client import connect
 from websockets.asyncio.server import ServerConnection, serve
@@ -88,7 +88,7 @@
 
 async def measure_requests(folder: Path) -> tuple[Cost, float]:
     """Return a request's cost by program, and the pass-through's, in milliseconds."""
-    fleet = Fleet(folder, Shape(entries=1, engines=1, batch=64, token_time=0.0))
+    fleet = Fleet(folder, FleetOptions(entries=1, engines=1, batch=64, token_time=0.0))
     passing = _make_pass_through(folder)
     try:
         await fleet.start()
@@ -126,7 +126,7 @@
     # The stand-in's step takes half as long again with a full batch, and its own
     # work for a hundred streams takes about a fifth of the time between two
     token_time = STREAMS / TOKENS_A_SECOND / 1.5 * 0.8
-    shape = Shape(entries=1, engines=1, batch=STREAMS, token_time=token_time)
+    shape = FleetOptions(entries=1, engines=1, batch=STREAMS, token_time=token_time)
     fleet = Fleet(folder, shape)
     try:
         await fleet.start()
--- a/tests/control/test_replicas.py
+++ b/tests/control/test_replicas.py
@@ -239,7 +239,7 @@
     await trio.insist("s0", 0)
     old = await trio.find_leader()
     others = tuple(name for name in NAMES if name != old)
-    trio.programs[old].freeze()
+    trio.programs[old].suspend()
     reads = [
         asyncio.create_task(trio.ask(old, "GET", "/v1/documents/raktar"))
         for _ in range(5)
@@ -252,7 +252,7 @@
             break
         assert reply.status == 503
     await asyncio.sleep(FREEZE - 4.0)
-    trio.programs[old].thaw()
+    trio.programs[old].resume()
     for read in reads:
         reply = await read
         assert reply.status != 200 or reply.value["revision"] == 2
--- a/tests/onplatform/test_return.py
+++ b/tests/onplatform/test_return.py
@@ -5,7 +5,7 @@
 
 import pytest
 from tests.onplatform.standin import MODEL, World
-from tests.processes.programs import GIVE_UP
+from tests.processes.programs import TIMEOUT_SECONDS
 
 from ibishead.errors import LinkLost
 from ibishead.links import Endpoint
@@ -47,7 +47,7 @@
         for engine in world.engines:
             await engine.start()
     answers: list[tuple[int, bytes, str]] = []
-    async with asyncio.timeout(GIVE_UP):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         await asyncio.gather(
             *(call_until_served(world, gateway, answers) for gateway in world.gateways)
         )
@@ -56,7 +56,7 @@
         assert status in {200, 429, 503}
         assert len(runs.get(request, ())) == (status == 200)
     status, body = 0, b""
-    async with asyncio.timeout(GIVE_UP):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while status != 200:
             with contextlib.suppress(LinkLost):
                 status, body = await world.call(
--- a/tests/processes/conftest.py
+++ b/tests/processes/conftest.py
@@ -1,20 +1,20 @@
-"""Fleets that end with their test."""
+"""Fixtures that start fleets of processes and terminate them after the test."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 
 import pytest
-from tests.processes.fleet import Fleet, Shape
+from tests.processes.fleet import Fleet, FleetOptions
 
 StartFleet = Callable[..., Awaitable[Fleet]]
 
 
 @pytest.fixture
 async def start_fleet(tmp_path) -> AsyncIterator[StartFleet]:
-    """Yield what starts a fleet that serves both documents of the demo."""
+    """Yield a function that starts a fleet serving both documents of the demo."""
     fleets: list[Fleet] = []
 
-    async def start(**shape) -> Fleet:
-        fleet = Fleet(tmp_path, Shape(**shape))
+    async def start(**options) -> Fleet:
+        fleet = Fleet(tmp_path, FleetOptions(**options))
         fleets.append(fleet)
         await fleet.start()
         await fleet.submit_all()
--- a/tests/processes/fleet.py
+++ b/tests/processes/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet on loopback: every program a real process, ended by its id."""
+"""Small fleet on loopback, with each program running as a process of its own."""
 
 import asyncio
 import hashlib
@@ -8,7 +8,13 @@
 from pathlib import Path
 
 import msgspec
-from tests.processes.programs import GIVE_UP, LOOPBACK, ROOT, Program, reserve_port
+from tests.processes.programs import (
+    LOOPBACK,
+    ROOT,
+    TIMEOUT_SECONDS,
+    Program,
+    reserve_port,
+)
 from tests.processes.relay import Relay
 
 from ibishead.errors import LinkLost
@@ -24,15 +30,16 @@
 OPERATOR_KEY = "kata-key"
 ADMIN_KEY = "admin-key"
 
-#: Engines of the dangerous kind: an adapter that isn't there is served by the base
-#: model under its name, and some loads are answered as done and aren't.
-HARSH_ENGINE = ("--ignores-unknown-adapter", "--false-load", "0.1")
+#: Options of engines with the most dangerous faults: requests for a missing adapter are
+#: served by the base model under the adapter's name, and some loads falsely report
+#: success.
+FAULTY_ENGINE_OPTIONS = ("--ignores-unknown-adapter", "--false-load", "0.1")
 
 DOMAINS = ("szeged-a", "szolnok-b", "kecskemet-c", "baja-d")
 
 
 def render(template: str, values: Mapping[str, object]) -> str:
-    """Return a file of the demo with its @NAMES@ filled in."""
+    """Return a template of the demo with its @NAME@ placeholders replaced."""
     text = (ROOT / "demo" / template).read_text()
     for name, value in values.items():
         text = text.replace(f"@{name}@", str(value))
@@ -40,21 +47,21 @@
 
 
 def digest(key: str) -> str:
-    """Return a key's SHA-256 as settings and documents hold it."""
+    """Return the SHA-256 of a key, as stored in settings and documents."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def render_document(template: str) -> str:
-    """Return a service document of the demo with the fleet's keys."""
+    """Return a service document of the demo with the keys of the fleet."""
     keys = {"CALLER_KEY": digest(CALLER_KEY), "OPERATOR_KEY": digest(OPERATOR_KEY)}
     return render(template, keys)
 
 
 @dataclass
 class Target:
-    """A target and the agent beside it.
+    """A target and its agent.
 
-    :param port: where the target listens, the same in each of its lives.
+    :param port: port of the target; it stays the same across restarts.
     """
 
     program: Program
@@ -64,15 +71,16 @@
 
     @property
     def ledger(self) -> list[Record]:
-        """What all lives of the target have recorded."""
+        """The target's records, including those from before restarts."""
         return read_ledger_file(self.ledger_file)
 
 
 @dataclass(frozen=True)
 class Reply:
-    """Status and JSON of an answer to an operator.
+    """Response of the operator API.
 
-    :param status: 0 when nobody answered.
+    :param status: HTTP status; 0 if there was no response.
+    :param value: decoded JSON body.
     """
 
     status: int
@@ -80,7 +88,7 @@
 
 
 class Hop(Enum):
-    """A path between two programs that can lead through a relay."""
+    """Connection between two programs that can be routed through a relay."""
 
     ENTRY_AGENT = "entry-agent"
     AGENT_TARGET = "agent-target"
@@ -89,12 +97,15 @@
 
 
 @dataclass
-class Shape:
-    """How many of what, and how fast.
-
-    :param token_time: seconds of an engine's step.
-    :param delay: seconds of a plain execution.
-    :param relayed: paths that lead through a relay.
+class FleetOptions:
+    """Number of programs in a fleet, and the speed of its targets.
+
+    :param slots: adapter slots of each engine.
+    :param batch: batch size of each engine.
+    :param token_time: base duration of an engine step, in seconds.
+    :param delay: duration of an execution by a plain service, in seconds.
+    :param engine_options: further command line options of the engines.
+    :param relayed: connections that are routed through a relay.
     """
 
     controls: int = 3
@@ -104,19 +115,19 @@
     batch: int = 8
     token_time: float = 0.005
     delay: float = 0.05
-    engine_options: tuple[str, ...] = HARSH_ENGINE
+    engine_options: tuple[str, ...] = FAULTY_ENGINE_OPTIONS
     relayed: frozenset[Hop] = frozenset()
 
 
 @dataclass
 class Fleet:
-    """All programs of one test.
+    """The programs that one test runs.
 
-    :param folder: of settings, logs, ports and ledgers.
+    :param folder: directory of settings, log, port and ledger files.
     """
 
     folder: Path
-    shape: Shape = field(default_factory=Shape)
+    options: FleetOptions = field(default_factory=FleetOptions)
     controls: list[Program] = field(default_factory=list)
     entries: list[Program] = field(default_factory=list)
     engines: list[Target] = field(default_factory=list)
@@ -129,26 +140,26 @@
 
     @property
     def entry_endpoints(self) -> tuple[Endpoint, ...]:
-        """Where callers reach the entry hosts."""
+        """Addresses of the entry hosts for callers."""
         return tuple(Endpoint(LOOPBACK, port) for port in self.entry_ports)
 
     def make_caller(self, timeout: float = 60.0, resends: int = 0) -> Caller:
-        """Return a caller that uses all entry hosts in turn."""
+        """Return a caller that sends to all entry hosts round-robin."""
         return Caller(self.entry_endpoints, CALLER_KEY, timeout, resends)
 
     async def start(self) -> None:
-        """Start everything; documents are submitted separately."""
+        """Start all programs, without submitting any documents."""
         self._start_controls()
         store_port = await self._start_store()
         self.engines = await asyncio.gather(
-            *(self._start_engine(n, store_port) for n in range(self.shape.engines))
+            *(self._start_engine(n, store_port) for n in range(self.options.engines))
         )
         self.plains = [await self._start_plain()]
         await asyncio.gather(
-            *(self._start_entry(f"entry-{n}", n) for n in range(self.shape.entries))
+            *(self._start_entry(f"entry-{n}", n) for n in range(self.options.entries))
         )
 
-    async def operate(
+    async def call_operator_api(
         self,
         method: str,
         target: str,
@@ -156,7 +167,7 @@
         key: str = ADMIN_KEY,
         control: int = 0,
     ) -> Reply:
-        """Ask one control replica as an operator."""
+        """Send a request to the operator API of one control replica."""
         program = self.controls[control]
         headers = (("authorization", f"Bearer {key}"),)
         try:
@@ -171,62 +182,65 @@
             return Reply(0, {})
 
     async def submit(self, template: str, base: int = 0, extra: str = "") -> Reply:
-        """Submit a document of the demo until a replica accepts or refuses it.
+        """Submit a document of the demo until a replica accepts or rejects it.
 
-        :param extra: appended to the document.
+        :param base: revision that the document is based on.
+        :param extra: text appended to the document.
         """
         service = template.removesuffix(".ini")
         text = render_document(template) + extra
         target = f"/v1/documents/{service}?base={base}&submission={service}-{base}"
         for attempt in range(500):
             control = attempt % len(self.controls)
-            reply = await self.operate("POST", target, text.encode(), control=control)
+            reply = await self.call_operator_api(
+                "POST", target, text.encode(), control=control
+            )
             if reply.status not in (0, 503):
                 return reply
             await asyncio.sleep(0.05)
-        raise AssertionError(f"no replica took {template}: {reply}")
+        raise AssertionError(f"no replica accepted {template}: {reply}")
 
     async def submit_all(self) -> None:
-        """Submit both documents, and return once entries and agents hold them."""
+        """Submit both documents and wait until all entry hosts and agents have them."""
         for template in ("mester.ini", "raktar.ini"):
             reply = await self.submit(template)
             assert reply.status == 200, reply
             await self.wait_in_force(reply.value["index"])
 
     async def wait_serving(self) -> None:
-        """Return once each entry host gets answers from both services."""
+        """Wait until requests through each entry host to both services succeed."""
         for entry in self.entry_endpoints:
             caller = Caller((entry,), CALLER_KEY)
-            async with asyncio.timeout(GIVE_UP):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 for service in ("mester", "raktar"):
                     while not await _probe(caller, service):
                         await asyncio.sleep(0.05)
             caller.close()
 
     async def wait_in_force(self, index: object, control: int = 0) -> None:
-        """Return once every entry and agent holds the log up to an index."""
-        async with asyncio.timeout(GIVE_UP):
+        """Wait until all entry hosts and agents have the log up to an index."""
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while True:
                 target = f"/v1/in-force?index={index}"
-                reply = await self.operate("GET", target, control=control)
+                reply = await self.call_operator_api("GET", target, control=control)
                 if reply.value.get("in_force"):
                     return
                 await asyncio.sleep(0.05)
 
     async def clean_up(self) -> None:
-        """End every process and relay that is left."""
+        """Terminate all remaining processes and relays."""
         for program in self.programs:
             program.clean_up()
         for relay in self.relays:
             await relay.stop()
 
     def silence(self) -> None:
-        """Let all relayed connections that are open now go silent for good."""
+        """Permanently stop forwarding on all open relayed connections."""
         for relay in self.relays:
             relay.silence_open()
 
     def count_executions(self, key: str) -> int:
-        """Return how often the plain services started a key, in all lives."""
+        """Return the number of executions with an idempotency key, across restarts."""
         return sum(
             1
             for target in self.plains
@@ -235,7 +249,7 @@
         )
 
     def list_violations(self) -> list[Record]:
-        """Return the engines' records of adapters evicted while they served."""
+        """Return the records of requests aborted by an eviction of their adapter."""
         return [
             record
             for target in self.engines
@@ -244,13 +258,13 @@
         ]
 
     def write(self, name: str, text: str) -> Path:
-        """Write a file of settings or a document, and return its path."""
+        """Write a file to the fleet's directory and return its path."""
         path = self.folder / name
         path.write_text(text)
         return path
 
     def _start_controls(self) -> None:
-        names = [f"control-{number}" for number in range(self.shape.controls)]
+        names = [f"control-{number}" for number in range(self.options.controls)]
         self.control_ports = [reserve_port() for _ in names]
         pairs = zip(names, self.control_ports, strict=True)
         peers = "\n".join(f"{name} = {LOOPBACK}:{port}" for name, port in pairs)
@@ -272,15 +286,15 @@
     async def _start_engine(self, number: int, store_port: int) -> Target:
         options = [
             *("engine", "--store", f"{LOOPBACK}:{store_port}"),
-            *("--slots", str(self.shape.slots), "--batch", str(self.shape.batch)),
-            *("--token-time", str(self.shape.token_time)),
-            *self.shape.engine_options,
+            *("--slots", str(self.options.slots), "--batch", str(self.options.batch)),
+            *("--token-time", str(self.options.token_time)),
+            *self.options.engine_options,
         ]
         name = f"engine-{number}"
         return await self._start_target(name, number, "mester", options)
 
     async def _start_plain(self) -> Target:
-        options = ["plain", "--delay", str(self.shape.delay)]
+        options = ["plain", "--delay", str(self.options.delay)]
         return await self._start_target("plain-0", 0, "raktar", options)
 
     async def _start_target(
@@ -292,13 +306,15 @@
         program = self._make_standin(name, options)
         program.start()
         await program.read_port(f"{name}.port")
-        values = await self._describe(f"agent-of-{name}", number, Hop.AGENT_CONTROL)
+        values = await self._build_host_values(
+            f"agent-of-{name}", number, Hop.AGENT_CONTROL
+        )
         values |= {
             "TARGET": name,
-            "TARGET_PORT": await self._pass_through(Hop.AGENT_TARGET, port),
+            "TARGET_PORT": await self._insert_relay(Hop.AGENT_TARGET, port),
             "SERVICE": service,
-            "SLOTS": self.shape.slots,
-            "BATCH": self.shape.batch,
+            "SLOTS": self.options.slots,
+            "BATCH": self.options.batch,
         }
         agent = await self._start_agent(f"agent-{options[0]}.ini", values)
         return Target(program, agent, port, ledger_file)
@@ -306,21 +322,21 @@
     async def _start_agent(
         self, template: str, values: Mapping[str, object]
     ) -> Program:
-        if Hop.ENTRY_AGENT not in self.shape.relayed:
+        if Hop.ENTRY_AGENT not in self.options.relayed:
             return self._start_program("agent", template, values)
         relay = Relay()
         self.relays.append(relay)
         endpoint = await relay.start()
-        announce = f"[agent]\nannounce = {endpoint}\n"
-        agent = self._start_program("agent", template, values, announce)
+        agent_section = f"[agent]\nannounce = {endpoint}\n"
+        agent = self._start_program("agent", template, values, agent_section)
         port = await agent.read_port(f"{agent.name}.links.port")
         relay.upstream = Endpoint(LOOPBACK, port)
         return agent
 
     async def _start_entry(self, name: str, number: int) -> None:
-        # A restarted entry must be found where callers look for it
+        # The port is fixed, so that callers can reach the entry host after a restart
         port = reserve_port()
-        values = await self._describe(name, number, Hop.ENTRY_CONTROL)
+        values = await self._build_host_values(name, number, Hop.ENTRY_CONTROL)
         program = self._start_program(
             "entry", "entry.ini", values | {"HTTP_PORT": port}
         )
@@ -328,14 +344,16 @@
         self.entry_ports.append(port)
         await program.read_port(f"{name}.http.port")
 
-    async def _describe(self, name: str, number: int, hop: Hop) -> dict[str, object]:
-        ports = [await self._pass_through(hop, port) for port in self.control_ports]
+    async def _build_host_values(
+        self, name: str, number: int, hop: Hop
+    ) -> dict[str, object]:
+        ports = [await self._insert_relay(hop, port) for port in self.control_ports]
         replicas = ", ".join(f"{LOOPBACK}:{port}" for port in ports)
         domain = DOMAINS[number % len(DOMAINS)]
         return {"NAME": name, "DOMAIN": domain, "REPLICAS": replicas}
 
-    async def _pass_through(self, hop: Hop, port: int) -> int:
-        if hop not in self.shape.relayed:
+    async def _insert_relay(self, hop: Hop, port: int) -> int:
+        if hop not in self.options.relayed:
             return port
         relay = Relay()
         relay.upstream = Endpoint(LOOPBACK, port)
@@ -347,13 +365,13 @@
         kind: str,
         template: str,
         values: Mapping[str, object],
-        first: str | None = None,
+        section: str | None = None,
     ) -> Program:
         name = str(values["NAME"])
         text = render(template, values)
-        if first is not None:
-            section = first.partition("\n")[0]
-            text = text.replace(f"{section}\n", first, 1)
+        if section is not None:
+            header = section.partition("\n")[0]
+            text = text.replace(f"{header}\n", section, 1)
         settings = self.write(f"{name}.ini", text)
         program = Program(name, f"ibishead.{kind}.main", [str(settings)], self.folder)
         self.programs.append(program)
@@ -364,7 +382,8 @@
         port_file = self.folder / f"{name}.port"
         arguments = [*options, "--port-file", str(port_file)]
         program = Program(name, "ibishead.standin.main", arguments, self.folder)
-        # Noted before it starts: a fleet that fails half started still ends it
+        # Added before the start, so that clean_up() also terminates it if the start of
+        # the fleet fails
         self.programs.append(program)
         return program
 
--- a/tests/processes/promises.py
+++ b/tests/processes/guarantees.py
@@ -1,4 +1,4 @@
-"""What must hold of every call, whatever failed meanwhile."""
+"""Guarantees that must hold for every call, regardless of faults during the call."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -10,49 +10,49 @@
 from ibishead.standin.ledger import RecordKind
 from ibishead.standin.load import CallResult
 
-__all__ = ["Tally", "check_promises"]
+__all__ = ["CallTotals", "check_guarantees"]
 
 REQUEST_ID_HEADER = "x-ibishead-request"
 
-#: Calls that a failed check shows one by one.
-MOST_SHOWN = 10
+#: Maximum number of calls that a failed check lists individually.
+MAX_SHOWN = 10
 
 
 @dataclass(frozen=True)
-class Tally:
-    """How the calls of one test ended.
+class CallTotals:
+    """Results of the calls of one test.
 
-    :param ends: counts by verdict and error code.
+    :param counts: number of calls by verdict and error code.
     """
 
-    ends: Counter[tuple[Verdict, str]]
+    counts: Counter[tuple[Verdict, str]]
     results: tuple[CallResult, ...] = ()
 
-    def keep(self, *allowed: Verdict) -> None:
-        """Fail unless all calls ended in one of these ways."""
-        others = [
+    def require(self, *allowed: Verdict) -> None:
+        """Assert that every call has one of the allowed verdicts."""
+        unexpected = [
             f"{count} {verdict.value} {code}"
-            for (verdict, code), count in self.ends.items()
+            for (verdict, code), count in self.counts.items()
             if verdict not in allowed
         ]
         shown = [_describe(r) for r in self.results if r.verdict not in allowed]
-        message = f"calls ended otherwise: {', '.join(others)}"
-        assert not others, "\n".join([message, *shown[:MOST_SHOWN]])
+        message = f"calls with unexpected verdicts: {', '.join(unexpected)}"
+        assert not unexpected, "\n".join([message, *shown[:MAX_SHOWN]])
 
 
-def check_promises(fleet: Fleet, results: list[CallResult]) -> Tally:
-    """Compare what callers were told with the targets' ledgers.
+def check_guarantees(fleet: Fleet, results: list[CallResult]) -> CallTotals:
+    """Compare the responses that callers received with the targets' ledgers.
 
-    :returns: the counts, for what a test expects besides.
+    :returns: counts of the results, for further checks by the test.
     """
     wrong = [r for r in results if r.verdict is Verdict.WRONG]
     assert not wrong, f"wrong or mixed answers: {wrong[:3]}"
-    assert not fleet.list_violations(), "an adapter was evicted while it served"
+    assert not fleet.list_violations(), "an adapter was evicted while it was in use"
     started = _list_started(fleet)
     for result in results:
-        _check_run(fleet, result, started)
-    ends = Counter((result.verdict, result.code) for result in results)
-    return Tally(ends, tuple(results))
+        _check_executions(fleet, result, started)
+    counts = Counter((result.verdict, result.code) for result in results)
+    return CallTotals(counts, tuple(results))
 
 
 def _describe(result: CallResult) -> str:
@@ -75,16 +75,16 @@
     }
 
 
-def _check_run(fleet: Fleet, result: CallResult, started: set[str]) -> None:
+def _check_executions(fleet: Fleet, result: CallResult, started: set[str]) -> None:
     if result.call.kind is CallKind.PLAIN:
         runs = fleet.count_executions(result.call.key)
-        assert runs <= 1, f"ran {runs} times: {result}"
+        assert runs <= 1, f"executed {runs} times: {result}"
         if result.verdict is Verdict.WHOLE:
-            assert runs == 1, f"an answer without a run: {result}"
-        # An earlier sending, whose answer was lost, may have run
+            assert runs == 1, f"response without an execution: {result}"
+        # If the call was resent, an earlier send whose response was lost may have run
         if result.verdict is Verdict.NOT_RUN and result.sends == 1:
-            assert runs == 0, f"told as not run, and ran: {result}"
+            assert runs == 0, f"reported as not run but executed: {result}"
     elif result.verdict is Verdict.NOT_RUN:
         request = find_header(result.headers, REQUEST_ID_HEADER)
-        assert request, f"no request id: {result}"
-        assert request not in started, f"told as not run, and ran: {result}"
+        assert request, f"response without a request id: {result}"
+        assert request not in started, f"reported as not run but started: {result}"
--- a/tests/processes/programs.py
+++ b/tests/processes/programs.py
@@ -1,4 +1,4 @@
-"""Programs as real processes that a test starts, signals and ends by process id."""
+"""Processes that a test starts, signals and terminates by process id."""
 
 import asyncio
 import os
@@ -10,14 +10,21 @@
 from pathlib import Path
 from typing import TypeVar
 
-__all__ = ["GIVE_UP", "LOOPBACK", "ROOT", "Program", "reserve_port", "wait_until"]
+__all__ = [
+    "TIMEOUT_SECONDS",
+    "LOOPBACK",
+    "ROOT",
+    "Program",
+    "reserve_port",
+    "wait_until",
+]
 
 LOOPBACK = "127.0.0.1"
 ROOT = Path(__file__).resolve().parents[2]
 
-#: Seconds after which a condition counts as never met; a bound for a broken build,
-#: far above anything that a test waits for.
-GIVE_UP = 60.0
+#: Time limit of every wait. It only takes effect in a broken build; regular waits are
+#: far shorter.
+TIMEOUT_SECONDS = 60.0
 
 _T = TypeVar("_T")
 
@@ -26,25 +33,27 @@
 
 
 def reserve_port() -> int:
-    """Return a port that the system has found free, and keep it from others.
+    """Reserve a free port and return its number.
 
-    The socket stays bound but never listens; a program that binds it with
-    SO_REUSEADDR, as asyncio does, may listen there.
+    The socket stays bound but never listens, so that the system assigns the port to no
+    other process. A program that binds the port with SO_REUSEADDR, as asyncio does, can
+    still listen on it.
     """
-    holder = socket.socket()
-    holder.bind((LOOPBACK, 0))
-    # Only now, or the system could choose a port that another holder keeps
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    _reserved.append(holder)
-    return int(holder.getsockname()[1])
+    reservation = socket.socket()
+    reservation.bind((LOOPBACK, 0))
+    # Set after bind(): otherwise the system could choose an already reserved port
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    _reserved.append(reservation)
+    return int(reservation.getsockname()[1])
 
 
 async def wait_until(what: str, condition: Callable[[], _T]) -> _T:
-    """Return the first true value of a condition.
+    """Poll a condition and return its first true value.
 
-    :param what: named in the failure.
+    :param what: description of the condition.
+    :raises TimeoutError: the condition was not met within `TIMEOUT_SECONDS`.
     """
-    async with asyncio.timeout(GIVE_UP):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not (value := condition()):
             await asyncio.sleep(0.02)
         return value
@@ -52,11 +61,11 @@
 
 
 class Program:
-    """One program of the system, which may be started again after it has ended.
+    """One program of the system; it can be started again after it has ended.
 
-    :param module: that holds its `main`.
-    :param environment: variables that it gets beside those of the tests.
-    :param folder: where its log and port files go.
+    :param module: module with the program's `main` function.
+    :param folder: directory of its log and port files.
+    :param environment: environment variables added to those of the test process.
     """
 
     def __init__(
@@ -80,24 +89,24 @@
 
     @property
     def log(self) -> str:
-        """What all lives of the program have logged."""
+        """The program's log, including that from before restarts."""
         return (self.folder / f"{self.name}.log").read_text()
 
     @property
     def pid(self) -> int:
-        """The process id of the life that runs."""
-        assert self._process is not None, f"{self.name} doesn't run"
+        """Process id of the running process."""
+        assert self._process is not None, f"{self.name} is not running"
         return self._process.pid
 
     @property
     def running(self) -> bool:
-        """Whether the process is there, frozen or not."""
+        """Whether the process exists, suspended or not."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
-        """Start a new life."""
-        assert not self.running, f"{self.name} runs already"
-        # A former life's port must not be taken for this one's
+        """Start the process."""
+        assert not self.running, f"{self.name} is already running"
+        # read_port() must not return the port of an earlier process
         for file in self.folder.glob(f"{self.name}*.port"):
             file.unlink()
         with (self.folder / f"{self.name}.log").open("ab") as log:
@@ -112,10 +121,10 @@
             )
 
     async def read_port(self, file: str) -> int:
-        """Return the port that this life has written to a file."""
+        """Return the port number that the process has written to a file."""
 
         def read() -> int:
-            assert self.running, f"{self.name} ended early:\n{self.log[-2000:]}"
+            assert self.running, f"{self.name} exited early:\n{self.log[-2000:]}"
             path = self.folder / file
             return int(path.read_text()) if path.exists() else 0
 
@@ -125,33 +134,33 @@
         """Send a signal."""
         os.kill(self.pid, number)
 
-    def freeze(self) -> None:
-        """Stop the process where it is."""
+    def suspend(self) -> None:
+        """Suspend the process with SIGSTOP."""
         self.send(signal.SIGSTOP)
 
-    def thaw(self) -> None:
-        """Let a frozen process go on."""
+    def resume(self) -> None:
+        """Resume a suspended process with SIGCONT."""
         self.send(signal.SIGCONT)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process with SIGKILL and wait for its end."""
         assert self._process is not None
         self.send(signal.SIGKILL)
         self._process.wait()
 
     async def stop(self) -> int:
-        """Ask for a graceful stop, and return the exit status."""
+        """Request a graceful stop with SIGTERM and return the exit status."""
         self.send(signal.SIGTERM)
         return await self.wait_ended()
 
     async def wait_ended(self) -> int:
-        """Return the exit status once the process has ended."""
+        """Wait for the process to end and return its exit status."""
         process = self._process
         assert process is not None
         await wait_until(f"{self.name} ends", lambda: process.poll() is not None)
         return process.returncode
 
     def clean_up(self) -> None:
-        """End whatever is left of the process."""
+        """Kill the process if it is still running."""
         if self.running:
             self.kill()
--- a/tests/processes/relay.py
+++ b/tests/processes/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that loses track of connections, as middleboxes do."""
+"""TCP relay that can silently stop forwarding connections, as middleboxes do."""
 
 import asyncio
 import contextlib
@@ -9,14 +9,15 @@
 
 
 class Relay:
-    """Passes bytes to an upstream, until told to be silent.
+    """Forwards connections to an upstream server, and can silence them.
 
-    Connections that were open when `silence_open` was called stay open and carry
-    nothing more, for good; new ones work.
+    Connections that are open when `silence_open` is called stay open but permanently
+    forward no more data; new connections work.
 
-    :ivar upstream: may be set once it is known, before the first connection.
-    :ivar swallowed: connections that carry these bytes toward the caller fall silent
-        before them; none while it is empty.
+    :ivar upstream: upstream address; it must be set before the first connection.
+    :ivar accepted: number of accepted connections.
+    :ivar silence_before: a connection is silenced just before it would forward these
+        bytes to the client; empty to disable.
     """
 
     def __init__(self) -> None:
@@ -25,7 +26,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._generation = 0
         self.accepted = 0
-        self.swallowed = b""
+        self.silence_before = b""
 
     async def start(self, port: int = 0) -> Endpoint:
         """Listen on loopback."""
@@ -33,11 +34,11 @@
         return Endpoint("127.0.0.1", self._server.sockets[0].getsockname()[1])
 
     def silence_open(self) -> None:
-        """Carry nothing more on the connections that are open now."""
+        """Permanently stop forwarding on all open connections."""
         self._generation += 1
 
     async def stop(self) -> None:
-        """Drop everything."""
+        """Close the listener and all connections."""
         assert self._server is not None
         self._server.close()
         for task in list(self._tasks):
@@ -52,33 +53,33 @@
             writer.close()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            upstream_reader, upstream_writer = await asyncio.open_connection(
                 self.upstream.address, self.upstream.port
             )
         except OSError:
             writer.close()
             return
-        for source, sink in ((reader, far_writer), (far_reader, writer)):
-            silences = sink is writer
-            work = self._pass_on(source, sink, self._generation, silences)
-            task = asyncio.create_task(work)
+        for source, sink in ((reader, upstream_writer), (upstream_reader, writer)):
+            to_client = sink is writer
+            forwarding = self._forward(source, sink, self._generation, to_client)
+            task = asyncio.create_task(forwarding)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _pass_on(
+    async def _forward(
         self,
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
         generation: int,
-        silences: bool,
+        to_client: bool,
     ) -> None:
         try:
             while data := await source.read(65536):
-                # A silent connection swallows what comes and passes on no end
+                # A silenced connection discards data and does not forward its close
                 if generation != self._generation:
                     continue
-                if silences and self.swallowed and self.swallowed in data:
-                    data = data[: data.index(self.swallowed)]
+                if to_client and self.silence_before and self.silence_before in data:
+                    data = data[: data.index(self.silence_before)]
                     generation = -1
                 sink.write(data)
                 await sink.drain()
--- a/tests/processes/test_demo.py
+++ b/tests/processes/test_demo.py
@@ -1,28 +1,28 @@
-"""The README's first command answers real requests and leaves nothing behind."""
+"""Test of the demo, which is the first command of the README."""
 
 import os
 import subprocess
 import sys
 from pathlib import Path
 
-from tests.processes.programs import GIVE_UP, ROOT
+from tests.processes.programs import ROOT, TIMEOUT_SECONDS
 
 
 def list_commands(folder: Path) -> list[str]:
-    """Return the command lines that name a folder, of all processes."""
-    found = []
+    """Return the command lines of all processes that mention a folder."""
+    commands = []
     for file in Path("/proc").glob("[0-9]*/cmdline"):
         try:
             command = file.read_bytes().replace(b"\0", b" ").decode()
         except OSError:
             continue
         if str(folder) in command:
-            found.append(command)
-    return found
+            commands.append(command)
+    return commands
 
 
-def test_demo_answers_and_ends_all_it_started(tmp_path):
-    """A newcomer runs the demo once; it must show answers and clean up."""
+def test_demo_succeeds_and_leaves_no_processes_or_files(tmp_path):
+    """Guards against a demo that shows no responses or leaves processes or files."""
     environment = os.environ | {
         "BIN": str(Path(sys.executable).parent),
         "PYTHONPATH": str(ROOT / "src"),
@@ -33,7 +33,7 @@
         env=environment,
         capture_output=True,
         text=True,
-        timeout=2 * GIVE_UP,
+        timeout=2 * TIMEOUT_SECONDS,
         check=False,
     )
     assert demo.returncode == 0, demo.stdout[-2000:] + demo.stderr[-2000:]
--- a/tests/processes/test_outcomes.py
+++ b/tests/processes/test_outcomes.py
@@ -1,12 +1,12 @@
-"""What callers are told when the only target of their service dies."""
+"""Outcomes that callers receive when programs fail during their calls."""
 
 import asyncio
 
 import pytest
 from tests.processes.fleet import CALLER_KEY, Fleet
+from tests.processes.guarantees import check_guarantees
 from tests.processes.programs import wait_until
-from tests.processes.promises import check_promises
-from tests.processes.striking import ADAPTERS
+from tests.processes.under_load import ADAPTERS
 
 from ibishead.standin.calls import Call, CallKind, Mix, Verdict, plan_calls
 from ibishead.standin.ledger import RecordKind
@@ -36,7 +36,7 @@
             return any(r.key == call.key for r in started)
         return any(r.asked == call.adapter for r in started)
 
-    await wait_until("the call runs", is_started)
+    await wait_until("the call is started", is_started)
 
 
 @pytest.mark.parametrize(
@@ -49,21 +49,21 @@
     ],
     ids=["chat", "stream", "idempotent", "non-idempotent"],
 )
-async def test_run_that_a_dead_target_began_is_unknown(start_fleet, kind, path):
-    """The only target dies in the middle of a call and stays dead."""
+async def test_outcome_is_unknown_after_the_target_died(start_fleet, kind, path):
+    """Guards against reporting a definite outcome when the only target dies."""
     fleet = await start_fleet(engines=1, entries=1, delay=3.0)
     targets = fleet.plains if kind is CallKind.PLAIN else fleet.engines
     call = plan_call(kind, path)
     caller = fleet.make_caller()
-    asking = asyncio.create_task(caller.call(call))
+    pending = asyncio.create_task(caller.call(call))
     await wait_started(fleet, call)
     targets[0].program.kill()
-    result = await asking
+    result = await pending
     caller.close()
     assert result.verdict is Verdict.UNKNOWN, result
 
 
-async def call_through(fleet: Fleet, entry: int, call: Call) -> CallResult:
+async def call_via_entry(fleet: Fleet, entry: int, call: Call) -> CallResult:
     caller = Caller((fleet.entry_endpoints[entry],), CALLER_KEY)
     try:
         return await caller.call(call)
@@ -71,49 +71,58 @@
         caller.close()
 
 
-async def test_issue_survives_its_entry_host(start_fleet):
-    """An entry host dies while an issue runs; the caller resends through another."""
+async def test_resend_after_entry_host_died_runs_once(start_fleet):
+    """Guards against a lost or repeated execution when an entry host dies.
+
+    The caller resends the call with the same idempotency key through another host.
+    """
     fleet = await start_fleet(engines=1, delay=2.0)
     call = plan_call(CallKind.PLAIN)
-    first = asyncio.create_task(call_through(fleet, 0, call))
+    first = asyncio.create_task(call_via_entry(fleet, 0, call))
     await wait_started(fleet, call)
     fleet.entries[0].kill()
     assert (await first).verdict is Verdict.CUT
-    again = await call_through(fleet, 1, call)
-    assert again.verdict is Verdict.WHOLE, again
+    second = await call_via_entry(fleet, 1, call)
+    assert second.verdict is Verdict.WHOLE, second
     assert fleet.count_executions(call.key) == 1
 
 
-async def test_issue_of_a_dead_service_is_never_run_again(start_fleet):
-    """A service dies in an issue and comes back; the caller sends the key again."""
+async def test_resend_after_service_restart_is_not_run(start_fleet):
+    """Guards against a repeated execution when a service restarts during a call.
+
+    The caller resends the call with the same idempotency key.
+    """
     fleet = await start_fleet(engines=1, delay=2.0)
     call = plan_call(CallKind.PLAIN)
-    first = asyncio.create_task(call_through(fleet, 0, call))
+    first = asyncio.create_task(call_via_entry(fleet, 0, call))
     await wait_started(fleet, call)
     plain = fleet.plains[0].program
     plain.kill()
     plain.start()
     verdicts = [(await first).verdict]
-    verdicts += [(await call_through(fleet, n, call)).verdict for n in (1, 0)]
+    verdicts += [(await call_via_entry(fleet, n, call)).verdict for n in (1, 0)]
     assert verdicts == [Verdict.UNKNOWN] * 3
     assert fleet.count_executions(call.key) == 1
 
 
-async def test_false_loads_never_answer(start_fleet):
-    """A load is answered as done and isn't, and another model's answer passes."""
+async def test_false_load_successes_give_no_wrong_responses(start_fleet):
+    """Guards against responses from the base model after false load successes."""
     options = ("--ignores-unknown-adapter", "--false-load", "0.5")
     fleet = await start_fleet(engines=1, slots=1, engine_options=options)
     mix = Mix("mester", ADAPTERS, 40, rate=8.0, zipf=0.0, max_tokens=60)
     caller = fleet.make_caller()
     _, results = await generate_load(caller, mix, duration=60.0)
     caller.close()
-    tally = check_promises(fleet, results)
-    tally.keep(Verdict.WHOLE, Verdict.NOT_RUN)
-    assert tally.ends[Verdict.WHOLE, ""], "nothing was answered"
+    totals = check_guarantees(fleet, results)
+    totals.require(Verdict.WHOLE, Verdict.NOT_RUN)
+    assert totals.counts[Verdict.WHOLE, ""], "no call succeeded"
 
 
-async def test_engine_restarts_behind_a_frozen_agent(start_fleet):
-    """An engine comes back empty while its agent is frozen with requests before it."""
+async def test_engine_restarts_while_its_agent_is_suspended(start_fleet):
+    """Guards against wrong responses when an engine restarts without its adapters.
+
+    Its agent is suspended meanwhile, and handles the queued requests when resumed.
+    """
     fleet = await start_fleet(engines=1, entries=1)
     caller = fleet.make_caller()
     first, *others = plan_calls(
@@ -121,29 +130,32 @@
     )
     assert (await caller.call(first)).verdict is Verdict.WHOLE
     engine, agent = fleet.engines[0].program, fleet.engines[0].agent
-    agent.freeze()
+    agent.suspend()
     engine.kill()
     engine.start()
     await engine.read_port(f"{engine.name}.port")
-    asking = asyncio.gather(*map(caller.call, others))
-    # One turn of the loop for the connections, one for the requests on them
+    pending = asyncio.gather(*map(caller.call, others))
+    # Time to open the connections and to send the requests
     await asyncio.sleep(0.1)
-    agent.thaw()
-    results = await asking
+    agent.resume()
+    results = await pending
     caller.close()
-    check_promises(fleet, results).keep(Verdict.WHOLE, Verdict.NOT_RUN)
+    check_guarantees(fleet, results).require(Verdict.WHOLE, Verdict.NOT_RUN)
+
 
+async def test_adapter_in_use_survives_agent_restart(start_fleet):
+    """Guards against evicting an adapter that is in use.
 
-async def test_adapter_outlives_its_agent(start_fleet):
-    """An agent dies during streams; its successor is asked for other adapters."""
+    An agent restarts during a stream and then receives requests for other adapters.
+    """
     fleet = await start_fleet(engines=1, slots=1, entries=1)
     stream = plan_call(CallKind.STREAM, tokens=600)
     caller = fleet.make_caller()
-    asking = asyncio.create_task(caller.call(stream))
+    pending = asyncio.create_task(caller.call(stream))
     await wait_started(fleet, stream)
     fleet.engines[0].agent.kill()
     fleet.engines[0].agent.start()
-    result = await asking
+    result = await pending
     await fleet.wait_serving()
     caller.close()
-    check_promises(fleet, [result])
+    check_guarantees(fleet, [result])
--- a/tests/processes/test_signals.py
+++ b/tests/processes/test_signals.py
@@ -1,18 +1,18 @@
-"""Each program is killed, frozen and stopped under load; no promise may break."""
+"""The guarantees hold when programs are killed, suspended or stopped under load."""
 
 import asyncio
 from collections.abc import Callable
 
 import pytest
 from tests.processes.fleet import Fleet
+from tests.processes.guarantees import check_guarantees
 from tests.processes.programs import Program
-from tests.processes.promises import check_promises
-from tests.processes.striking import run_under_load
+from tests.processes.under_load import run_under_load
 
 from ibishead.standin.calls import Verdict
 
-#: Seconds for which a program is frozen: longer than any silence that a link bears.
-FREEZE = 6.0
+#: Longer than the silence after which any link is closed.
+SUSPEND_SECONDS = 6.0
 
 CHOOSE: dict[str, Callable[[Fleet], Program]] = {
     "entry": lambda fleet: fleet.entries[0],
@@ -29,33 +29,33 @@
     program.start()
 
 
-async def freeze(program: Program) -> None:
-    program.freeze()
-    await asyncio.sleep(FREEZE)
-    program.thaw()
+async def suspend(program: Program) -> None:
+    program.suspend()
+    await asyncio.sleep(SUSPEND_SECONDS)
+    program.resume()
 
 
-async def test_calls_without_faults_are_all_whole(start_fleet):
-    """Four adapters share two slots an engine, so adapters come and go all the time."""
+async def test_all_calls_succeed_without_faults(start_fleet):
+    """Four adapters share two slots per engine, which causes constant evictions."""
     fleet = await start_fleet()
     results = await run_under_load(fleet, lambda: asyncio.sleep(0))
-    check_promises(fleet, results).keep(Verdict.WHOLE)
+    check_guarantees(fleet, results).require(Verdict.WHOLE)
 
 
 @pytest.mark.parametrize("victim", CHOOSE)
-@pytest.mark.parametrize("strike", [kill, freeze])
-async def test_strike_breaks_no_promise(start_fleet, victim, strike):
-    """A program dies and comes back, or freezes and goes on, under load."""
+@pytest.mark.parametrize("fault", [kill, suspend])
+async def test_guarantees_hold_after_fault(start_fleet, victim, fault):
+    """A program is killed and restarted, or suspended and resumed, under load."""
     fleet = await start_fleet()
     program = CHOOSE[victim](fleet)
-    results = await run_under_load(fleet, lambda: strike(program))
-    check_promises(fleet, results)
+    results = await run_under_load(fleet, lambda: fault(program))
+    check_guarantees(fleet, results)
     await fleet.wait_serving()
 
 
 @pytest.mark.parametrize("victim", ["entry", "agent", "plain agent", "control"])
-async def test_planned_stop_cuts_nothing(start_fleet, victim):
-    """A program is asked to stop while it carries streams and plain calls."""
+async def test_planned_stop_interrupts_no_calls(start_fleet, victim):
+    """Guards against calls that are interrupted by a graceful stop of a program."""
     fleet = await start_fleet()
     program = CHOOSE[victim](fleet)
     statuses = []
@@ -64,7 +64,7 @@
         statuses.append(await program.stop())
 
     results = await run_under_load(fleet, stop)
-    tally = check_promises(fleet, results)
-    # A call that finds a stopped entry's port closed was never sent
-    tally.keep(Verdict.WHOLE, Verdict.NOT_RUN, Verdict.UNREACHABLE)
+    totals = check_guarantees(fleet, results)
+    # Connections to a stopped entry host are refused, and these calls are never sent
+    totals.require(Verdict.WHOLE, Verdict.NOT_RUN, Verdict.UNREACHABLE)
     assert statuses == [0]
--- a/tests/processes/test_silence.py
+++ b/tests/processes/test_silence.py
@@ -1,16 +1,17 @@
-"""Open connections go silent for good while new ones work."""
+"""The guarantees hold when open connections become permanently silent."""
 
 import pytest
 from tests.processes.fleet import Hop
-from tests.processes.promises import check_promises
-from tests.processes.striking import run_under_load
+from tests.processes.guarantees import check_guarantees
+from tests.processes.under_load import run_under_load
 
 from ibishead.standin.calls import Verdict
 from ibishead.standin.protocol import DONE_EVENT
 
-#: How calls may end when the open connections of a path go silent. Between entry and
-#: agent answers are resumed, so all are whole. What a target still did on a silent
-#: connection nobody can know. Without control nothing that needs it is started.
+#: Allowed verdicts when the open connections of a hop become silent. Between entry host
+#: and agent, responses are resumed, so all are complete. The outcome of a request that
+#: was sent to a target over a silenced connection cannot be known. Without control,
+#: requests that need it are not started.
 ALLOWED = {
     Hop.ENTRY_AGENT: (Verdict.WHOLE,),
     Hop.AGENT_TARGET: (Verdict.WHOLE, Verdict.UNKNOWN, Verdict.NOT_RUN),
@@ -21,24 +22,24 @@
 
 @pytest.mark.parametrize("hop", ALLOWED)
 async def test_silent_connections_break_no_promise(start_fleet, hop):
-    """A middlebox loses track of all open connections of one path, under load."""
+    """A middlebox drops the state of all open connections of one hop under load."""
     fleet = await start_fleet(relayed=frozenset({hop}))
 
     async def silence() -> None:
         fleet.silence()
 
     results = await run_under_load(fleet, silence)
-    check_promises(fleet, results).keep(*ALLOWED[hop])
+    check_guarantees(fleet, results).require(*ALLOWED[hop])
     await fleet.wait_serving()
 
 
 async def test_stream_that_falls_silent_before_its_end_is_not_cut(start_fleet):
-    """A stream's text has come whole, its last line hasn't, and it counts as cut."""
+    """Guards against treating a complete stream without its last line as truncated."""
     fleet = await start_fleet(relayed=frozenset({Hop.AGENT_TARGET}))
 
-    async def swallow_ends() -> None:
+    async def silence_before_end() -> None:
         for relay in fleet.relays:
-            relay.swallowed = DONE_EVENT
+            relay.silence_before = DONE_EVENT
 
-    results = await run_under_load(fleet, swallow_ends, rate=10.0)
-    check_promises(fleet, results).keep(*ALLOWED[Hop.AGENT_TARGET])
+    results = await run_under_load(fleet, silence_before_end, rate=10.0)
+    check_guarantees(fleet, results).require(*ALLOWED[Hop.AGENT_TARGET])
--- a/tests/processes/striking.py
+++ b/tests/processes/under_load.py
@@ -1,4 +1,4 @@
-"""Load on a fleet, and a strike in the middle of it."""
+"""Runs a fleet under load and injects a fault during the run."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,17 +14,17 @@
 
 ADAPTERS = ("tisza@v2", "balaton@v1", "alfold@v1", "tisza@v1")
 
-#: Seconds after a strike in which calls still come.
-AFTERMATH = 4.0
+#: Time for which calls are still started after the fault.
+SECONDS_AFTER_FAULT = 4.0
 
-#: Calls that targets have finished before a strike.
-CALLS_BEFORE = 20
+#: Number of calls that targets have finished before the fault.
+CALLS_BEFORE_FAULT = 20
 
 
 async def run_under_load(
-    fleet: Fleet, strike: Callable[[], Awaitable[None]], rate: float = 40.0
+    fleet: Fleet, inject_fault: Callable[[], Awaitable[None]], rate: float = 40.0
 ) -> list[CallResult]:
-    """Strike once calls have started and finished, and return how all calls ended."""
+    """Inject a fault once calls have started and finished, and return all results."""
     mix = Mix(
         "mester",
         ADAPTERS,
@@ -39,10 +39,10 @@
     load = asyncio.create_task(generate_load(caller, mix, 60.0, stop))
     await wait_until(
         "calls have started and finished",
-        lambda: count_records(fleet, RecordKind.FINISHED) >= CALLS_BEFORE,
+        lambda: count_records(fleet, RecordKind.FINISHED) >= CALLS_BEFORE_FAULT,
     )
-    await strike()
-    await asyncio.sleep(AFTERMATH)
+    await inject_fault()
+    await asyncio.sleep(SECONDS_AFTER_FAULT)
     stop.set()
     _, results = await load
     caller.close()
@@ -50,6 +50,6 @@
 
 
 def count_records(fleet: Fleet, kind: RecordKind) -> int:
-    """Return the records of a kind in the ledgers of all targets."""
+    """Return the number of records of a kind in the ledgers of all targets."""
     targets = fleet.engines + fleet.plains
     return sum(1 for t in targets for record in t.ledger if record.kind is kind)
--- a/tests/standin/test_engine.py
+++ b/tests/standin/test_engine.py
@@ -87,7 +87,7 @@
     timing = LoadTiming(StoreOptions())
     burst = [timing.begin(100.0) for _ in range(8)]
     assert burst == [0.25] * 8
-    # The ninth load waits for a token and is slowed down by the other eight
+    # The ninth load waits for a token and exceeds the concurrency at full speed
     assert timing.begin(100.0) == pytest.approx(0.25 + 0.25 * 9 / 8)
     for _ in range(9):
         timing.end()
