--- a/benchmarks/red_runs.py
+++ b/benchmarks/red_runs.py
@@ -51,7 +51,7 @@
         "entry/claims.py",
         "if answer.generation > given_up:",
         "if True:",
-        (f"{CLAIMS}::test_an_order_is_not_sent_under_a_grant_that_was_given_up",),
+        (f"{CLAIMS}::test_request_is_not_sent_under_an_abandoned_grant",),
     ),
     Guard(
         "an earlier answer about a claim is none to the next ask",
@@ -265,7 +265,7 @@
         "if False and document is not None:",
         (
             f"{GATE}::test_stale_entry_gets_the_newer_document",
-            f"{PROMISES}::test_change_reaches_every_host_and_holds",
+            f"{PROMISES}::test_document_change_reaches_every_host_and_stays",
         ),
     ),
     Guard(
@@ -280,7 +280,7 @@
         "agent/reception.py",
         "elif self._is_own(resume.incarnation) and self._gate.add_tombstone(key):",
         "elif self._gate.add_tombstone(key):",
-        (f"{PROMISES}::test_new_agent_doesnt_vouch_for_the_one_before",),
+        (f"{PROMISES}::test_restarted_agent_reports_no_outcome_of_earlier_requests",),
     ),
     Guard(
         "a revision never goes down",
@@ -301,7 +301,7 @@
         "entry/agents.py",
         "for channel in self._list_open():\n            # The old",
         "for channel in ():\n            # The old",
-        (f"{PROMISES}::test_stream_outlives_its_link",),
+        (f"{PROMISES}::test_stream_is_resumed_after_its_link_is_lost",),
     ),
     Guard(
         "frames that came are not delivered again",
@@ -316,7 +316,7 @@
         "entry/dispatching.py",
         "job.doubtful |= ended.outcome is Outcome.UNKNOWN",
         "pass",
-        (f"{PROMISES}::test_request_that_ran_once_is_never_told_as_not_run",),
+        (f"{PROMISES}::test_request_that_may_have_run_is_not_reported_as_not_run",),
     ),
     Guard(
         "a cancelled attempt is asked for its verdict",
@@ -337,14 +337,14 @@
         "entry/pipeline.py",
         "else self._claimed.run",
         "else self._dispatcher.run",
-        (f"{PROMISES}::test_promises_hold_under_any_schedule",),
+        (f"{PROMISES}::test_guarantees_hold_under_any_schedule",),
     ),
     Guard(
         "a planned stop finishes what runs",
         "agent/scheduler.py",
         "while self._list_unfinished() or self._has_undelivered_frames():",
         "while False:",
-        (f"{PROMISES}::test_leaving_target_gets_no_new_work_and_cuts_nothing",),
+        (f"{PROMISES}::test_draining_target_gets_no_new_requests_and_interrupts_none",),
     ),
     Guard(
         "a leader without its quorum grants no permit",
--- a/tests/proofs/network.py
+++ b/tests/proofs/network.py
@@ -1,4 +1,4 @@
-"""A fake network: links that are held up, fall silent, break, or can't be opened."""
+"""Simulated network whose links can be delayed, silenced, broken or refused."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,21 +12,29 @@
 
 __all__ = ["FakeLink", "FakeNetwork"]
 
-LATENCY = 0.001
-DIAL_TIMEOUT = 2.0
+LATENCY_SECONDS = 0.001
+
+#: Time after which an attempt to dial an unreachable host fails.
+DIAL_TIMEOUT_SECONDS = 2.0
 
 
 class FakeLink:
-    """One end of a link; it keeps order, as TCP does, and loses all or nothing."""
+    """One end of a simulated link.
+
+    As with TCP, messages arrive in order, and none is lost without all later ones.
+
+    :ivar silent: whether messages in both directions are discarded.
+    :ivar delayed_until: loop time before which no sent message arrives.
+    """
 
-    def __init__(self, own: HostId, peer: Hello, pace: Pace) -> None:
-        self.own = own
+    def __init__(self, local_host: HostId, peer: Hello, pace: Pace) -> None:
+        self.local_host = local_host
         self.peer = peer
-        self.other: FakeLink | None = None
+        self.peer_end: FakeLink | None = None
         self.silent = False
-        self.held_until = 0.0
+        self.delayed_until = 0.0
         self._loop = asyncio.get_running_loop()
-        self._arrival = 0.0
+        self._last_arrival = 0.0
         self._inbox: asyncio.Queue[Message | None] = asyncio.Queue()
         self._closed = asyncio.Event()
         self._monitor = LinkMonitor(self._loop.time(), pace.interval, pace.silence)
@@ -38,7 +46,7 @@
 
     def send(self, message: Message) -> None:
         if not self.closed:
-            self._carry(message)
+            self._transmit(message)
 
     async def receive(self):
         while (message := await self._inbox.get()) is not None:
@@ -60,14 +68,16 @@
         self._closed.set()
         self._inbox.put_nowait(None)
         self._watch.cancel()
-        self._carry(None)
+        self._transmit(None)
 
-    def _carry(self, message: Message | None) -> None:
+    def _transmit(self, message: Message | None) -> None:
         if self.silent:
             return
-        earliest = max(self._loop.time() + LATENCY, self.held_until, self._arrival)
-        self._arrival = earliest
-        self._loop.call_at(earliest, self.other._deliver, message)
+        earliest = max(
+            self._loop.time() + LATENCY_SECONDS, self.delayed_until, self._last_arrival
+        )
+        self._last_arrival = earliest
+        self._loop.call_at(earliest, self.peer_end._deliver, message)
 
     def _deliver(self, message: Message | None) -> None:
         if self.silent or self.closed:
@@ -91,78 +101,80 @@
 @dataclass
 class _Listener:
     host: HostId
-    greet: Callable[[], Hello]
+    make_hello: Callable[[], Hello]
     serve: Callable[[FakeLink], Awaitable[None]]
 
 
 class FakeNetwork:
-    """Hosts, the links between them, and what goes wrong with these."""
+    """Hosts and the links between them, with fault injection."""
 
     def __init__(self) -> None:
         self._listeners: dict[Endpoint, _Listener] = {}
-        self._cut: set[frozenset[HostId]] = set()
+        self._partitions: set[frozenset[HostId]] = set()
         self._links: list[FakeLink] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def add(self, endpoint: Endpoint, host: HostId, greet, serve) -> None:
-        """Let a host accept links."""
-        self._listeners[endpoint] = _Listener(host, greet, serve)
+    def add(self, endpoint: Endpoint, host: HostId, make_hello, serve) -> None:
+        """Start accepting links for a host."""
+        self._listeners[endpoint] = _Listener(host, make_hello, serve)
 
     def remove(self, endpoint: Endpoint) -> None:
-        """Refuse links there from now on."""
+        """Stop accepting links at an endpoint."""
         self._listeners.pop(endpoint, None)
 
     async def dial(self, endpoint, hello, clock, pace=None, tls=None) -> FakeLink:
-        """Open a link, as `links.dial` does."""
-        await asyncio.sleep(LATENCY)
+        """Open a link; replaces `links.dial`."""
+        await asyncio.sleep(LATENCY_SECONDS)
         listener = self._listeners.get(endpoint)
         if listener is None:
             raise LinkLost("refused", "none")
-        if frozenset((hello.host, listener.host)) in self._cut:
-            await asyncio.sleep(DIAL_TIMEOUT)
+        if frozenset((hello.host, listener.host)) in self._partitions:
+            await asyncio.sleep(DIAL_TIMEOUT_SECONDS)
             raise LinkLost("timed out", "none")
         pace = pace or Pace()
-        near = FakeLink(hello.host, listener.greet(), pace)
-        far = FakeLink(listener.host, hello, pace)
-        near.other, far.other = far, near
-        self._links += [near, far]
-        task = asyncio.create_task(self._serve(listener, far))
+        client_end = FakeLink(hello.host, listener.make_hello(), pace)
+        server_end = FakeLink(listener.host, hello, pace)
+        client_end.peer_end, server_end.peer_end = server_end, client_end
+        self._links += [client_end, server_end]
+        task = asyncio.create_task(self._serve(listener, server_end))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return near
+        return client_end
 
     def list_ends(self, a: HostId, b: HostId) -> list[FakeLink]:
-        """Return the open ends on ``a`` of links with ``b``."""
+        """Return the ends at ``a`` of the open links between ``a`` and ``b``."""
         return [
             link
             for link in self._links
-            if not link.closed and link.own == a and link.other.own == b
+            if not link.closed
+            and link.local_host == a
+            and link.peer_end.local_host == b
         ]
 
-    def hold(self, a: HostId, b: HostId, seconds: float) -> None:
-        """Hold up what goes from ``a`` to ``b`` on the links that exist."""
+    def delay(self, a: HostId, b: HostId, seconds: float) -> None:
+        """Delay the messages from ``a`` to ``b`` on the existing links."""
         until = asyncio.get_running_loop().time() + seconds
         for link in self.list_ends(a, b):
-            link.held_until = until
+            link.delayed_until = until
 
     def silence(self, a: HostId, b: HostId) -> None:
-        """Lose track of the links that exist; new ones work."""
+        """Discard all messages on the existing links; new links work."""
         for link in self.list_ends(a, b):
-            link.silent = link.other.silent = True
+            link.silent = link.peer_end.silent = True
 
-    def cut(self, a: HostId, b: HostId) -> None:
-        """Let nothing through, on old links or new, until healed."""
-        self._cut.add(frozenset((a, b)))
+    def partition(self, a: HostId, b: HostId) -> None:
+        """Silence the existing links and fail new ones, until `heal` is called."""
+        self._partitions.add(frozenset((a, b)))
         self.silence(a, b)
 
     def heal(self) -> None:
-        """Let new links through again."""
-        self._cut.clear()
+        """Allow new links between all hosts again."""
+        self._partitions.clear()
 
     def drop_host(self, host: HostId) -> None:
-        """Break all links of a host that has died."""
+        """Close all links of a host, as when it dies."""
         for link in self._links:
-            if link.own == host:
+            if link.local_host == host:
                 link.end()
 
     async def _serve(self, listener: _Listener, link: FakeLink) -> None:
--- a/tests/proofs/targets.py
+++ b/tests/proofs/targets.py
@@ -1,4 +1,4 @@
-"""Fake targets with ledgers, in place of `agent.target.TargetClient`."""
+"""Simulated targets with ledgers, which replace `agent.target.TargetClient`."""
 
 import asyncio
 import contextlib
@@ -15,28 +15,42 @@
 
 __all__ = ["FakeEngine", "FakePlain", "Run"]
 
-STEP = 0.05
-TOKENS = 6
-LINGER = 0.4
+#: Duration of one step of a target.
+STEP_SECONDS = 0.05
+
+#: Tokens in each response.
+TOKEN_COUNT = 6
+
+#: Time for which an engine continues a request after its client has disconnected.
+CANCEL_DELAY_SECONDS = 0.4
 
 
 @dataclass
 class Run:
-    """One run that a target has begun.
+    """One execution of a request by a target.
 
-    :param served: the adapter that really made the answer.
+    :param request: request id.
+    :param key: idempotency key.
+    :param started_at: loop time of the start, in seconds.
+    :param served: adapter that produced the response.
     """
 
     request: str
     key: str
-    began: float
+    started_at: float
     served: str = ""
     finished: bool = False
 
 
 @dataclass
 class FakeTarget:
-    """What engines and plain services share: a ledger, boots and freezes."""
+    """Base of the simulated engines and plain services.
+
+    :ivar boot: number of the current boot, from 1.
+    :ivar runs: ledger of all executions, kept across boots.
+    :ivar violations: adapters that were unloaded while in use.
+    :ivar frozen_until: loop time until which the target does not respond.
+    """
 
     boot: int = 1
     runs: list[Run] = field(default_factory=list)
@@ -44,15 +58,15 @@
     frozen_until: float = 0.0
 
     def restart(self) -> None:
-        """Lose everything but the ledger."""
+        """Restart with a new boot; only the ledger is kept."""
         self.boot += 1
 
     def freeze(self, seconds: float) -> None:
-        """Answer nothing for a while."""
+        """Stop responding for a number of seconds."""
         self.frozen_until = asyncio.get_running_loop().time() + seconds
 
     def close(self) -> None:
-        """Nothing is kept."""
+        """Do nothing, as there are no connections to close."""
 
     async def check_reachable(self) -> None:
         await self._step(self.boot)
@@ -69,7 +83,7 @@
         finally:
             connection.open = False
 
-    async def _step(self, boot: int, seconds: float = STEP) -> None:
+    async def _step(self, boot: int, seconds: float = STEP_SECONDS) -> None:
         await asyncio.sleep(seconds)
         wait = self.frozen_until - asyncio.get_running_loop().time()
         if wait > 0:
@@ -99,7 +113,7 @@
 
 
 class FakePlain(FakeTarget):
-    """Runs what it is told and echoes the body."""
+    """Plain service that executes every request and echoes its body."""
 
     async def answer(self, connection, headers, body):
         run = self._begin(headers)
@@ -113,14 +127,14 @@
 
 
 class FakeEngine(FakeTarget):
-    """An engine with adapter slots that starts each boot empty.
+    """Engine with adapter slots that are empty after each boot.
 
-    :ivar failing: loads fail while it is set.
+    :ivar loads_fail: whether loads fail.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.failing = False
+        self.loads_fail = False
         self._resident: set[str] = set()
         self._active: list[tuple[Run, str]] = []
 
@@ -142,7 +156,7 @@
     async def load(self, key, source, boot, incarnation) -> None:
         self._check_boot(boot)
         await self._step(self.boot, 0.25)
-        if self.failing:
+        if self.loads_fail:
             raise Unavailable("load failed", "none")
         self._resident.add(make_lora_name(key))
 
@@ -166,14 +180,14 @@
         kind = "text/event-stream" if asked.get("stream") else "application/json"
         pieces = self._generate(connection, active, asked)
         if not asked.get("stream"):
-            pieces = _join(pieces, name)
+            pieces = _join_events(pieces, name)
         return ClientAnswer(200, (("content-type", kind),), pieces)
 
     async def _generate(self, connection, active, asked):
         run, name = active
         boot = connection.boot
         try:
-            for number in range(TOKENS):
+            for number in range(TOKEN_COUNT):
                 await self._step(boot)
                 token = f"{name}:{asked['prompt']}:{number}"
                 event = msgspec.json.encode({"model": name, "text": token})
@@ -181,12 +195,12 @@
             run.finished = True
             yield b"data: [DONE]\n\n"
         finally:
-            # An engine goes on for a while after its client has hung up
+            # An engine continues for some time after its client has disconnected
             if run.finished:
                 self._end(active)
             else:
                 loop = asyncio.get_running_loop()
-                loop.call_later(LINGER, self._end, active)
+                loop.call_later(CANCEL_DELAY_SECONDS, self._end, active)
 
     def _end(self, active) -> None:
         if active in self._active:
@@ -207,7 +221,7 @@
         yield piece
 
 
-async def _join(pieces, name):
+async def _join_events(pieces, name):
     events = [piece async for piece in pieces]
     texts = [
         msgspec.json.decode(event[len(b"data: ") :])["text"] for event in events[:-1]
--- a/tests/proofs/test_claims.py
+++ b/tests/proofs/test_claims.py
@@ -1,11 +1,11 @@
-"""One order runs once, whatever becomes of the messages about its claim."""
+"""Non-idempotent requests run at most once, whatever happens to claim messages."""
 
 import asyncio
 
-from tests.proofs.network import LATENCY, FakeLink
-from tests.proofs.test_promises import check_world
+from tests.proofs.network import LATENCY_SECONDS, FakeLink
+from tests.proofs.test_promises import check_guarantees
 from tests.proofs.virtual import run_virtual
-from tests.proofs.world import CONTROL_HOST, Slot, World
+from tests.proofs.world import CONTROL_HOST, TargetNode, World
 
 from ibishead.ids import HostId
 from ibishead.messages import (
@@ -20,21 +20,21 @@
 
 ENTRY = HostId("entry-0")
 
-#: Seconds that a report on a claim is held up: longer than its sender waits for it.
-LATE = 3.0
+#: Delay of a report on a claim; longer than its sender waits for the reply.
+REPORT_DELAY_SECONDS = 3.0
 
-#: Seconds that the targets stand still once the order is sent for the third time.
-FROZEN = 3.0
+#: Time for which the targets do not respond from the third send of the request on.
+FREEZE_SECONDS = 3.0
 
 
-class Interference:
-    """Meddles with the messages about the first order, at one entry host.
+class FaultInjector:
+    """Intercepts the messages about the first request at one entry host.
 
-    Its first dispatch is lost, so that its claim is given up and granted anew. At the
-    second grant the links to the targets break, and the report that this grant wasn't
-    used is held up. When the grant is offered again, the targets stand still.
+    The first dispatch is lost, so that the claim is abandoned and granted again. At the
+    second grant the links to the targets break, and the report that this grant was not
+    used is delayed. When this grant is offered again, the targets stop responding.
 
-    :ivar grants: generations granted, in order.
+    :ivar grants: generations of the granted claims, in order.
     """
 
     def __init__(self, world: World) -> None:
@@ -42,45 +42,45 @@
         self._world = world
         (self._control,) = world.network.list_ends(CONTROL_HOST, ENTRY)
         (self._entry,) = world.network.list_ends(ENTRY, CONTROL_HOST)
-        self._wrap(self._control, self._take_answer)
-        self._wrap(self._entry, self._take_report)
+        self._wrap(self._control, self._watch_grant)
+        self._wrap(self._entry, self._delay_report)
         for link in self._list_links():
-            self._wrap(link, self._lose_dispatch)
+            self._wrap(link, self._drop_dispatch)
 
-    def _wrap(self, link: FakeLink, take) -> None:
-        carry = link.send
+    def _wrap(self, link: FakeLink, filter_message) -> None:
+        original_send = link.send
 
         def send(message: Message) -> None:
-            if take(link, message):
-                carry(message)
+            if filter_message(link, message):
+                original_send(message)
 
         link.send = send
 
-    def _lose_dispatch(self, link: FakeLink, message: Message) -> bool:
+    def _drop_dispatch(self, link: FakeLink, message: Message) -> bool:
         if isinstance(message, Dispatch):
             link.end()
         return True
 
-    def _take_answer(self, link: FakeLink, message: Message) -> bool:
+    def _watch_grant(self, link: FakeLink, message: Message) -> bool:
         if isinstance(message, ClaimAnswer) and message.state is ClaimState.GRANTED:
             self.grants.append(message.generation)
             if message.generation == 2:
-                self._note_second_grant()
+                self._handle_second_grant()
         return True
 
-    def _note_second_grant(self) -> None:
+    def _handle_second_grant(self) -> None:
         if self.grants.count(2) == 1:
             loop = asyncio.get_running_loop()
-            loop.call_later(LATENCY / 2, self._break_links)
+            loop.call_later(LATENCY_SECONDS / 2, self._break_links)
         else:
-            for slot in self._world.slots:
-                slot.fake.freeze(FROZEN)
+            for node in self._world.nodes:
+                node.fake.freeze(FREEZE_SECONDS)
 
-    def _take_report(self, link: FakeLink, message: Message) -> bool:
+    def _delay_report(self, link: FakeLink, message: Message) -> bool:
         late = isinstance(message, ResolveClaim) and message.generation == 2
         if late:
             loop = asyncio.get_running_loop()
-            loop.call_later(LATE, link.other._deliver, message)
+            loop.call_later(REPORT_DELAY_SECONDS, link.peer_end._deliver, message)
         return not late
 
     def _break_links(self) -> None:
@@ -90,116 +90,125 @@
     def _list_links(self) -> list[FakeLink]:
         return [
             link
-            for slot in self._world.slots
-            for link in self._world.network.list_ends(ENTRY, slot.settings.host)
+            for node in self._world.nodes
+            for link in self._world.network.list_ends(ENTRY, node.settings.host)
         ]
 
 
-async def _order() -> tuple[World, list[int]]:
+async def _run_with_delayed_report() -> tuple[World, list[int]]:
     world = World()
     await world.start()
-    interference = Interference(world)
+    injector = FaultInjector(world)
     world.call_plain(0, "k1")
-    await asyncio.sleep(LATE + 1.0)
+    await asyncio.sleep(REPORT_DELAY_SECONDS + 1.0)
     world.call_plain(1, "k1")
-    await world.settle()
+    await world.wait_answered()
     await asyncio.sleep(10.0)
     await world.stop()
-    return world, interference.grants
+    return world, injector.grants
 
 
-def test_an_order_is_not_sent_under_a_grant_that_was_given_up():
-    """An order runs twice, as the report "not run" on its claim is recorded late."""
-    world, grants = run_virtual(_order)
-    assert grants.count(2) > 1, "the grant that was given up wasn't offered again"
-    check_world(world)
+def test_request_is_not_sent_under_an_abandoned_grant():
+    """Guards against a second execution under a claim that was already abandoned.
+
+    The claim is granted again because the report that it did not run is recorded late.
+    """
+    world, grants = run_virtual(_run_with_delayed_report)
+    assert grants.count(2) > 1, "the abandoned grant was not offered again"
+    check_guarantees(world)
     assert {call.outcome for call in world.calls} == {Outcome.COMPLETED}
 
 
-async def _order_while_links_fall_silent() -> World:
+async def _run_while_links_fall_silent() -> World:
     world = World()
     await world.start()
-    # Longer than it takes until silent agents are passed over
-    world.network.hold(CONTROL_HOST, ENTRY, 1.6)
+    # Longer than the time after which agents with silent links are no longer chosen
+    world.network.delay(CONTROL_HOST, ENTRY, 1.6)
     world.call_plain(0, "k1")
-    for slot in world.slots:
-        world.network.silence(ENTRY, slot.settings.host)
+    for node in world.nodes:
+        world.network.silence(ENTRY, node.settings.host)
     await asyncio.sleep(1.5)
     world.call_plain(0, "k2")
-    await world.settle()
+    await world.wait_answered()
     await asyncio.sleep(10.0)
     await world.stop()
     return world
 
 
-def test_links_that_fall_silent_during_a_claim_are_no_load():
-    """An order is refused, as no target is up, that a moment later would wait."""
-    world = run_virtual(_order_while_links_fall_silent)
-    check_world(world)
+def test_silent_links_during_a_claim_do_not_count_as_load():
+    """Guards against refusing a request because all links fall silent during its claim.
+
+    Without an available target it must wait, as a request sent a moment later does.
+    """
+    world = run_virtual(_run_while_links_fall_silent)
+    check_guarantees(world)
     assert [call.outcome for call in world.calls] == [Outcome.COMPLETED] * 2
 
 
-async def _order_while_its_target_leaves() -> tuple[World, list[Dispatch]]:
+async def _run_while_target_drains() -> tuple[World, list[Dispatch]]:
     world = World()
     await world.start()
     sent: list[Dispatch] = []
     (control,) = world.network.list_ends(ENTRY, CONTROL_HOST)
-    carry = control.send
+    original_send = control.send
 
     def send(message: Message) -> None:
-        if isinstance(message, AskClaim) and not sent_to:
-            (leaving,) = (s for s in world.slots if s.target == message.target)
-            sent_to.append(leaving)
-            world.drain(leaving)
-            _record_dispatches(world, leaving, sent)
-            world.network.hold(CONTROL_HOST, ENTRY, 0.5)
-        carry(message)
-
-    sent_to: list[Slot] = []
+        if isinstance(message, AskClaim) and not drained:
+            (node,) = (s for s in world.nodes if s.target == message.target)
+            drained.append(node)
+            world.drain(node)
+            _record_dispatches(world, node, sent)
+            world.network.delay(CONTROL_HOST, ENTRY, 0.5)
+        original_send(message)
+
+    drained: list[TargetNode] = []
     control.send = send
     world.call_plain(0, "k1")
-    await world.settle()
+    await world.wait_answered()
     await world.stop()
     return world, sent
 
 
-def _record_dispatches(world: World, slot: Slot, sent: list[Dispatch]) -> None:
-    (link,) = world.network.list_ends(ENTRY, slot.settings.host)
-    carry = link.send
+def _record_dispatches(world: World, node: TargetNode, sent: list[Dispatch]) -> None:
+    (link,) = world.network.list_ends(ENTRY, node.settings.host)
+    original_send = link.send
 
     def send(message: Message) -> None:
         if isinstance(message, Dispatch):
             sent.append(message)
-        carry(message)
+        original_send(message)
 
     link.send = send
 
 
-def test_an_order_is_not_sent_to_a_target_that_left_during_its_claim():
-    """An order that crosses the planned stop of an agent is told as unknown."""
-    world, sent = run_virtual(_order_while_its_target_leaves)
+def test_request_is_not_sent_to_a_target_drained_during_its_claim():
+    """Guards against an unknown outcome when a target is drained during a claim.
+
+    The request was dispatched to the draining target after the claim was granted.
+    """
+    world, sent = run_virtual(_run_while_target_drains)
     assert not sent
-    check_world(world)
+    check_guarantees(world)
     assert [call.outcome for call in world.calls] == [Outcome.COMPLETED]
 
 
-async def _order_as_its_agents_stop() -> World:
+async def _run_while_agents_stop() -> World:
     world = World()
     await world.start()
-    plains = world.slots[2:]
-    for slot in plains:
-        world.network.hold(ENTRY, slot.settings.host, 0.3)
+    plains = world.nodes[2:]
+    for node in plains:
+        world.network.delay(ENTRY, node.settings.host, 0.3)
     world.call_plain(0, "k1")
     await asyncio.sleep(0.1)
-    for slot in plains:
-        world.stop_agent(slot)
-    await world.settle()
+    for node in plains:
+        world.stop_agent(node)
+    await world.wait_answered()
     await world.stop()
     return world
 
 
-def test_an_order_on_its_way_to_an_agent_that_stops_is_not_unknown():
-    """A planned stop loses an order that an entry host had just sent."""
-    world = run_virtual(_order_as_its_agents_stop)
-    check_world(world)
+def test_request_in_transit_to_a_stopping_agent_is_not_unknown():
+    """Guards against losing a request sent just before a planned stop of its agent."""
+    world = run_virtual(_run_while_agents_stop)
+    check_guarantees(world)
     assert [call.outcome for call in world.calls] == [Outcome.NOT_RUN]
--- a/tests/proofs/test_lost_answers.py
+++ b/tests/proofs/test_lost_answers.py
@@ -1,4 +1,4 @@
-"""Runs whose answers never arrive must not block other requests indefinitely."""
+"""Requests without a response must not occupy the batch indefinitely."""
 
 import asyncio
 
@@ -8,16 +8,16 @@
 
 from ibishead.messages import Outcome
 
-#: Batch places of both plain services together, and enough requests to fill them.
-BATCH_PLACES = 6
+#: Combined batch size of both plain services, and enough requests to fill it.
+BATCH_CAPACITY = 6
 CALLS = 12
 
-#: Seconds within which every run without an answer is cancelled: the deadline of the
-#: class plus the time by which an answer may be late.
+#: Time within which every request without a response is cancelled: the deadline of the
+#: class plus the time by which a response may be late.
 CANCEL_SECONDS = 35.0
 
 
-def _lose_answers(fake: FakePlain) -> None:
+def _suppress_answers(fake: FakePlain) -> None:
     async def answer(connection, headers, body):
         fake._begin(headers)
         await asyncio.Event().wait()
@@ -25,12 +25,12 @@
     fake.answer = answer
 
 
-async def _lose_all() -> tuple[World, Call, Call]:
+async def _call_without_answers() -> tuple[World, Call, Call]:
     world = World()
     await world.start()
-    plains = [slot.fake for slot in world.slots[2:]]
+    plains = [node.fake for node in world.nodes[2:]]
     for fake in plains:
-        _lose_answers(fake)
+        _suppress_answers(fake)
     for number in range(CALLS):
         world.call_plain(number % 2, f"lost-{number}")
     await asyncio.sleep(CANCEL_SECONDS)
@@ -39,22 +39,22 @@
     new_call = world.call_plain(0, "fresh")
     lost = next(c for c in world.calls if c.outcome is Outcome.UNKNOWN)
     retry = world.call_plain(1, lost.key)
-    await world.settle()
+    await world.wait_answered()
     await world.stop()
     return world, new_call, retry
 
 
 def test_runs_without_answers_release_their_batch_places():
-    """Guards against a plain service that accepts no requests any more.
+    """Guards against a plain service that permanently accepts no more requests.
 
-    Connections to it stopped responding once, and their runs still occupied its batch.
+    Requests whose connections stopped responding kept occupying its batch.
     """
-    world, new_call, retry = run_virtual(_lose_all)
+    world, new_call, retry = run_virtual(_call_without_answers)
     lost = [call.outcome for call in world.calls[:CALLS]]
-    assert lost.count(Outcome.UNKNOWN) == BATCH_PLACES
+    assert lost.count(Outcome.UNKNOWN) == BATCH_CAPACITY
     assert new_call.outcome is Outcome.COMPLETED
     assert new_call.answered - new_call.sent < 1.0
     assert retry.outcome is Outcome.UNKNOWN
     assert retry.answered - retry.sent < 1.0, (
-        "a retry waited for an outcome that can't be known"
+        "a retry waited for an outcome that cannot be known"
     )
--- a/tests/proofs/test_smoke.py
+++ b/tests/proofs/test_smoke.py
@@ -1,4 +1,4 @@
-"""The fakes carry a request as the real network does."""
+"""Smoke test of calls through the simulated network and targets."""
 
 import msgspec
 from tests.proofs.virtual import run_virtual
@@ -13,18 +13,18 @@
     world.call_model(0, "tisza", "1", stream=False)
     world.call_model(1, "balaton", "", stream=True)
     world.call_plain(0, "k1")
-    await world.settle()
+    await world.wait_answered()
     world.call_plain(1, "k1")
-    await world.settle()
+    await world.wait_answered()
     await world.stop()
     return world
 
 
 def test_calls_are_answered():
     world = run_virtual(_call_everything)
-    whole, stream, plain, again = world.calls
+    complete, stream, plain, repeated = world.calls
     assert [call.outcome for call in world.calls] == [Outcome.COMPLETED] * 4
-    assert msgspec.json.decode(whole.body)["text"] == expect_text(whole, "1")
+    assert msgspec.json.decode(complete.body)["text"] == expect_text(complete, "1")
     assert stream.body.count(b"balaton@1") == 12
-    assert plain.body == again.body == b"ran issue k1"
-    assert sum(len(slot.fake.runs) for slot in world.slots[2:]) == 1
+    assert plain.body == repeated.body == b"ran issue k1"
+    assert sum(len(node.fake.runs) for node in world.nodes[2:]) == 1
--- a/tests/proofs/virtual.py
+++ b/tests/proofs/virtual.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next timer, so that minutes cost nothing."""
+"""Event loop in virtual time, which advances to the next timer without waiting."""
 
 import asyncio
 import selectors
@@ -11,13 +11,13 @@
 _T = TypeVar("_T")
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     now = 0.0
 
     def select(self, timeout=None):
         ready = super().select(0)
         if not ready and timeout is None:
-            raise RuntimeError("everything waits, and nothing will ever happen")
+            raise RuntimeError("deadlock: no event is ready and no timer is pending")
         if not ready:
             self.now += timeout
         return ready
@@ -25,15 +25,15 @@
 
 class _VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._time_selector = _VirtualTimeSelector()
+        super().__init__(self._time_selector)
 
     def time(self) -> float:
-        return self._jumping.now
+        return self._time_selector.now
 
 
 class LoopClock:
-    """The running loop's time as a program's clock."""
+    """Clock of the programs, based on the time of the running event loop."""
 
     def monotonic(self) -> float:
         return asyncio.get_running_loop().time()
@@ -43,6 +43,6 @@
 
 
 def run_virtual(make: Callable[[], Awaitable[_T]]) -> _T:
-    """Run to the end in virtual time."""
+    """Run an awaitable to completion in virtual time and return its result."""
     with asyncio.Runner(loop_factory=_VirtualLoop) as runner:
         return runner.run(make())
--- a/tests/proofs/world.py
+++ b/tests/proofs/world.py
@@ -1,4 +1,4 @@
-"""A whole fleet in one loop: real entries, agents and control over fake links."""
+"""Fleet in one event loop: real entry hosts, agents and control, simulated links."""
 
 import asyncio
 import itertools
@@ -10,7 +10,7 @@
 import msgspec
 from tests.control.lone import LoneReplica
 from tests.proofs.network import FakeNetwork
-from tests.proofs.targets import TOKENS, FakeEngine, FakePlain, FakeTarget
+from tests.proofs.targets import TOKEN_COUNT, FakeEngine, FakePlain, FakeTarget
 from tests.proofs.virtual import LoopClock
 
 from ibishead.agent.agent import Agent
@@ -40,7 +40,7 @@
 CONTROL = Endpoint("127.0.0.1", 1)
 CONTROL_HOST = HostId("control")
 DOMAIN = FailureDomain("szeged-a")
-NOWHERE = ListenSettings(Endpoint("127.0.0.1", 9))
+UNUSED_LISTENER = ListenSettings(Endpoint("127.0.0.1", 9))
 ADAPTERS = ("tisza", "balaton", "alfold")
 
 ENGINE_TEXT = """
@@ -73,7 +73,14 @@
 
 @dataclass
 class Call:
-    """One call and what its caller got."""
+    """One call and the response that its caller received.
+
+    :param sent: loop time at which the call was sent, in seconds.
+    :param ended: whether the response is complete.
+    :param answered: loop time at which the response was complete, in seconds.
+    :param aborted: whether the connection was closed before the response was complete.
+    :param disconnected: whether the caller disconnected.
+    """
 
     model: str
     prompt: str
@@ -86,15 +93,15 @@
     ended: bool = False
     answered: float = 0.0
     aborted: bool = False
-    left: bool = False
+    disconnected: bool = False
     task: asyncio.Task[None] | None = None
 
     async def send(self, *events: h11.Event) -> None:
-        """Take what the entry host writes, as its connection."""
+        """Receive the events that the entry host writes to the connection."""
         for event in events:
-            self._take(event)
+            self._receive(event)
 
-    def _take(self, event: h11.Event) -> None:
+    def _receive(self, event: h11.Event) -> None:
         match event:
             case h11.Response():
                 self.status = event.status_code
@@ -106,28 +113,28 @@
                 self.answered = asyncio.get_running_loop().time()
 
     def abort(self) -> None:
-        """Note that the connection was cut."""
+        """Record that the connection was closed early."""
         self.aborted = True
 
     @property
     def outcome(self) -> Outcome | None:
-        """What the caller was told, none when the answer was cut off."""
-        told = find_header(self.headers, "x-ibishead-outcome")
-        if told is not None:
-            return Outcome(told)
+        """Outcome reported to the caller; `None` without a response."""
+        reported = find_header(self.headers, "x-ibishead-outcome")
+        if reported is not None:
+            return Outcome(reported)
         if self.ended and self.body.endswith(b"data: [DONE]\n\n"):
             return Outcome.COMPLETED
         return Outcome.UNKNOWN if self.status else None
 
     @property
     def request(self) -> str:
-        """The id under which targets saw it."""
+        """Request id, as received by the targets."""
         return find_header(self.headers, "x-ibishead-request") or ""
 
 
 @dataclass
-class Slot:
-    """A target, and the agent beside it while one runs."""
+class TargetNode:
+    """A target and its agent, if one is running."""
 
     target: TargetId
     fake: FakeTarget
@@ -139,13 +146,13 @@
 
 @dataclass
 class World:
-    """Two entry hosts, two engines, two plain services and control."""
+    """Two entry hosts, some engines, two plain services and control."""
 
     seed: int = 1
     engines: int = 2
     network: FakeNetwork = field(default_factory=FakeNetwork)
     calls: list[Call] = field(default_factory=list)
-    slots: list[Slot] = field(default_factory=list)
+    nodes: list[TargetNode] = field(default_factory=list)
     entries: list[EntryHost | None] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -153,10 +160,10 @@
         self._submissions = itertools.count(1)
         self._revisions = {"mester": 0, "raktar": 0}
         self._clock = LoopClock()
-        self._chance = random.Random(self.seed)
+        self._random = random.Random(self.seed)
 
     async def start(self) -> None:
-        """Start all programs, and return once every target is seen."""
+        """Start all programs and wait until they have found every target."""
         self._start_control()
         self.submit("mester")
         self.submit("raktar")
@@ -170,9 +177,10 @@
         await asyncio.sleep(3.0)
 
     def submit(self, service: str, version: int = 1, protected: bool = False) -> None:
-        """Accept the next revision of a document.
+        """Submit and accept the next revision of a document.
 
-        :param protected: plans may run only once.
+        :param version: highest adapter version in the document.
+        :param protected: declare requests of class `plan` as non-idempotent.
         """
         lines = [
             f"{a} = {' '.join(str(v + 1) for v in range(version))}" for a in ADAPTERS
@@ -193,35 +201,39 @@
         assert isinstance(result, Accepted), result
         self._revisions[service] += 1
 
-    def drain(self, slot: Slot) -> None:
-        """Have an operator drain a target."""
-        self._machine.apply_next(encode_command(DrainTarget(slot.target)))
+    def drain(self, node: TargetNode) -> None:
+        """Drain a target, as an operator does."""
+        self._machine.apply_next(encode_command(DrainTarget(node.target)))
 
-    def retire(self, slot: Slot) -> None:
-        """Let control take an agent for dead, rightly or not."""
-        member = self.state.targets.members.get(slot.target)
+    def retire(self, node: TargetNode) -> None:
+        """Make control retire a target, whether or not its agent has failed."""
+        member = self.state.targets.members.get(node.target)
         if member is not None:
             command = RetireTarget(
-                slot.target, member.record.incarnation, member.attachment
+                node.target, member.record.incarnation, member.attachment
             )
             self._machine.apply_next(encode_command(command))
 
     def start_entry(self, number: int) -> None:
-        """Start an entry host; it keeps nothing of an earlier life."""
+        """Start an entry host without any earlier state."""
         settings = EntrySettings(
-            HostId(f"entry-{number}"), DOMAIN, NOWHERE, NOWHERE, (CONTROL,)
+            HostId(f"entry-{number}"),
+            DOMAIN,
+            UNUSED_LISTENER,
+            UNUSED_LISTENER,
+            (CONTROL,),
         )
         host = EntryHost(
             settings,
             self._clock,
-            random.Random(self._chance.random()),
+            random.Random(self._random.random()),
             self.network.dial,
         )
         host.start()
         self.entries[number] = host
 
     async def kill_entry(self, number: int) -> None:
-        """Kill an entry host with all that it was doing, and start it again."""
+        """Kill an entry host together with its calls, and start it again."""
         host = self.entries[number]
         for call in self.calls:
             if call.exchange is not None and call.host is host and not call.task.done():
@@ -231,20 +243,20 @@
         await host.stop()
         self.start_entry(number)
 
-    async def restart_agent(self, slot: Slot) -> None:
-        """Kill an agent with all that it was doing, and start it again."""
-        if slot.agent is None or slot.stopping is not None:
+    async def restart_agent(self, node: TargetNode) -> None:
+        """Kill an agent together with its requests, and start it again."""
+        if node.agent is None or node.stopping is not None:
             return
-        self.network.remove(slot.endpoint)
-        agent, slot.agent = slot.agent, None
-        self.network.drop_host(slot.settings.host)
+        self.network.remove(node.endpoint)
+        agent, node.agent = node.agent, None
+        self.network.drop_host(node.settings.host)
         await agent.stop()
-        await self._start_agent(slot)
+        await self._start_agent(node)
 
-    def stop_agent(self, slot: Slot) -> None:
-        """Ask an agent for a planned stop, as SIGTERM does."""
-        if slot.agent is not None and slot.stopping is None:
-            slot.stopping = asyncio.create_task(self._stop_agent(slot))
+    def stop_agent(self, node: TargetNode) -> None:
+        """Start a planned stop of an agent, as SIGTERM does."""
+        if node.agent is not None and node.stopping is None:
+            node.stopping = asyncio.create_task(self._stop_agent(node))
 
     def call_model(self, entry: int, adapter: str, version: str, stream: bool) -> Call:
         """Send a model call."""
@@ -257,32 +269,32 @@
         return self._send(entry, request, Call(model, prompt, "", self._now()))
 
     def call_plain(self, entry: int, key: str) -> Call:
-        """Send a call that may run once, or send it again."""
+        """Send a non-idempotent call; the same key sends it again."""
         headers = (("idempotency-key", key),) if key else ()
         body = f"issue {key}".encode()
         request = WebRequest("POST", "/services/raktar/issue", "", headers, body)
         return self._send(entry, request, Call("", body.decode(), key, self._now()))
 
-    def leave(self, call: Call) -> None:
-        """Let a caller hang up."""
-        call.left = True
+    def disconnect(self, call: Call) -> None:
+        """Disconnect the caller of a call."""
+        call.disconnected = True
         call.exchange.gone.set()
 
-    async def settle(self, seconds: float = 60.0) -> None:
-        """Return once every call has been answered."""
+    async def wait_answered(self, seconds: float = 60.0) -> None:
+        """Wait until the tasks of all calls are done."""
         async with asyncio.timeout(seconds):
             while not all(call.task.done() for call in self.calls):
                 await asyncio.sleep(0.1)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all programs."""
         for host in self.entries:
             await host.stop()
-        for slot in self.slots:
-            if slot.stopping is not None:
-                slot.stopping.cancel()
-            if slot.agent is not None:
-                await slot.agent.stop()
+        for node in self.nodes:
+            if node.stopping is not None:
+                node.stopping.cancel()
+            if node.agent is not None:
+                await node.agent.stop()
 
     def _now(self) -> float:
         return self._clock.monotonic()
@@ -292,16 +304,16 @@
         self._machine = _Machine(self.state)
         replica = LoneReplica(ReplicaId("c1"), self._machine)
         publisher = Publisher(self.state, replica.lease, self._clock)
-        desk = PermitDesk(self.state, replica, lambda *_: False, self._clock)
+        permits = PermitDesk(self.state, replica, lambda *_: False, self._clock)
         service = ControlService(
-            ReplicaId("c1"), self.state, replica, publisher, desk, self._clock
+            ReplicaId("c1"), self.state, replica, publisher, permits, self._clock
         )
         self.state.on_change = lambda: asyncio.get_running_loop().call_soon(
             publisher.publish
         )
         hello = Hello(Role.CONTROL, CONTROL_HOST)
         self.network.add(CONTROL, CONTROL_HOST, lambda: hello, service.serve)
-        self._reviewing = asyncio.create_task(_review(desk))
+        self._reviewing = asyncio.create_task(_review(permits))
 
     async def _add_target(self, name: str, service: str, fake: FakeTarget) -> None:
         is_engine = isinstance(fake, FakeEngine)
@@ -311,34 +323,34 @@
             target=TargetId(name),
             service=ServiceName(service),
             kind=TargetKind.ENGINE if is_engine else TargetKind.PLAIN,
-            links=NOWHERE,
-            operators=NOWHERE,
-            target_endpoint=NOWHERE.endpoint,
+            links=UNUSED_LISTENER,
+            operators=UNUSED_LISTENER,
+            target_endpoint=UNUSED_LISTENER.endpoint,
             control=(CONTROL,),
             lock=Path("unused"),
             slots=2 if is_engine else 0,
             batch=3,
         )
-        slot = Slot(TargetId(name), fake, settings)
-        self.slots.append(slot)
-        await self._start_agent(slot)
+        node = TargetNode(TargetId(name), fake, settings)
+        self.nodes.append(node)
+        await self._start_agent(node)
 
-    async def _start_agent(self, slot: Slot) -> None:
+    async def _start_agent(self, node: TargetNode) -> None:
         endpoint = Endpoint("127.0.0.1", next(self._ports))
         agent = Agent(
-            slot.settings, endpoint, slot.fake, self._clock, self.network.dial
+            node.settings, endpoint, node.fake, self._clock, self.network.dial
         )
-        slot.agent, slot.endpoint = agent, endpoint
-        self.network.add(endpoint, slot.settings.host, agent.make_hello, agent.serve)
-        slot.starting = asyncio.create_task(agent.start())
+        node.agent, node.endpoint = agent, endpoint
+        self.network.add(endpoint, node.settings.host, agent.make_hello, agent.serve)
+        node.starting = asyncio.create_task(agent.start())
 
-    async def _stop_agent(self, slot: Slot) -> None:
-        agent = slot.agent
+    async def _stop_agent(self, node: TargetNode) -> None:
+        agent = node.agent
         await agent.drain()
-        self.network.remove(slot.endpoint)
+        self.network.remove(node.endpoint)
         await agent.stop()
-        self.network.drop_host(slot.settings.host)
-        slot.agent = None
+        self.network.drop_host(node.settings.host)
+        node.agent = None
 
     def _send(self, entry: int, request: WebRequest, call: Call) -> Call:
         host = self.entries[entry]
@@ -357,7 +369,7 @@
 
 
 class _Machine:
-    """The state behind the replica, open to the test's own commands."""
+    """State machine of the replica; tests can also apply commands to it directly."""
 
     def __init__(self, state: ControlState) -> None:
         self._state = state
@@ -371,14 +383,14 @@
         return self._state.apply(self._index, command)
 
 
-async def _review(desk: PermitDesk) -> None:
+async def _review(permits: PermitDesk) -> None:
     while True:
-        await desk.review()
+        await permits.review()
         await asyncio.sleep(0.25)
 
 
 def expect_text(call: Call, version: str) -> str:
-    """Return the text that the right adapter makes of a call."""
+    """Return the response text that the correct adapter produces for a call."""
     adapter = call.model.partition("/")[2].partition("@")[0]
-    tokens = [f"{adapter}@{version}:{call.prompt}:{n}" for n in range(TOKENS)]
+    tokens = [f"{adapter}@{version}:{call.prompt}:{n}" for n in range(TOKEN_COUNT)]
     return " ".join(tokens)
