--- a/src/ibishead/gateway/choosing.py
+++ b/src/ibishead/gateway/choosing.py
@@ -12,7 +12,7 @@
 
 from ibishead.clock import Clock
 from ibishead.decisions.choice import Chosen, Need, choose_target
-from ibishead.decisions.holding import find_hold
+from ibishead.decisions.holding import compute_hold
 from ibishead.errors import IbisheadError, OutcomeUnknown, Refused
 from ibishead.gateway.recorder import RequestState
 from ibishead.gateway.stewards import StewardLinks, TurnOutcome
@@ -97,9 +97,9 @@
 
     async def _wait_for_discovery(self, request: RequestState) -> None:
         view, now = self._feed.view, self._clock.monotonic()
-        hold = find_hold(request.call.timeout)
+        hold = compute_hold(request.call.timeout)
         end = min(now + hold, self._started_at + DISCOVERY_SECONDS)
-        while now < end and not view.list_service(request.service):
+        while now < end and not view.list_ready_targets(request.service):
             await asyncio.sleep(DISCOVERY_POLL_SECONDS)
             now = self._clock.monotonic()
 
@@ -203,7 +203,7 @@
         candidates = [
             self._tracker.make_candidate(
                 target,
-                self._feed.view.heard(target.target) if self._feed.links else now,
+                self._feed.view.last_seen(target.target) if self._feed.links else now,
                 now,
                 key,
                 min_version,
@@ -211,7 +211,7 @@
                 spec,
                 self._stewards.is_unresponsive(target.address),
             )
-            for target in self._feed.view.list_service(request.service)
+            for target in self._feed.view.list_ready_targets(request.service)
         ]
         need = Need(
             self._domain,
--- a/src/ibishead/gateway/pipeline.py
+++ b/src/ibishead/gateway/pipeline.py
@@ -11,8 +11,8 @@
 from datetime import timedelta
 
 from ibishead.clock import Clock
-from ibishead.decisions.holding import expect_routes, find_hold
-from ibishead.decisions.leaving import ELSEWHERE_WAIT, AnswerPace, fits_grace
+from ibishead.decisions.holding import compute_hold, estimate_route_wait
+from ibishead.decisions.leaving import OTHER_HOST_RETRY_AFTER, AnswerPace, fits_grace
 from ibishead.decisions.retry import BudgetShare, RetryBudget
 from ibishead.errors import (
     ErrorCode,
@@ -146,20 +146,20 @@
         spec, progress = self._chooser.find_spec(request), request.progress
         if spec is not None and progress.event_count >= MIN_RATE_EVENTS:
             seconds = self._clock.monotonic() - progress.response_started
-            self._answer_pace.note(seconds, progress.event_count * spec.event_tokens)
+            self._answer_pace.record(seconds, progress.event_count * spec.event_tokens)
 
     async def _wait_for_routes(self, call: Call) -> None:
         if self._feed.routes is None:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(find_hold(call.timeout)):
+                async with asyncio.timeout(compute_hold(call.timeout)):
                     await self._feed.routes_known.wait()
 
     def _find_retry_after(self) -> timedelta:
-        wait = expect_routes(self._clock.monotonic() - self._started_at)
+        wait = estimate_route_wait(self._clock.monotonic() - self._started_at)
         return timedelta(seconds=wait * (0.5 + self._draw()))
 
     def _resolve(self, call: Call, exchange: Exchange, started: float) -> RequestState:
-        expected = self._answer_pace.expect(call.max_answer_tokens)
+        expected = self._answer_pace.estimate(call.max_answer_tokens)
         if self._stop_at is not None and not fits_grace(
             expected, self._stop_at - started
         ):
@@ -167,7 +167,7 @@
                 "not run: this gateway is shutting down",
                 "retry over a new connection",
                 code=ErrorCode.DRAINING,
-                retry_after=ELSEWHERE_WAIT,
+                retry_after=OTHER_HOST_RETRY_AFTER,
             )
         routes = self._feed.routes
         if routes is None:
--- a/src/ibishead/gateway/stewards.py
+++ b/src/ibishead/gateway/stewards.py
@@ -17,7 +17,12 @@
 from ibishead.ids import HostId
 from ibishead.links import Dialer, Endpoint, Link, dial
 from ibishead.messages import Hello, Message, Role
-from ibishead.routing.feed import FEED_PACE, FORGET_AFTER, REDIAL_FIRST, REDIAL_MOST
+from ibishead.routing.feed import (
+    FEED_PACE,
+    FORGET_AFTER_SECONDS,
+    REDIAL_MAX_SECONDS,
+    REDIAL_MIN_SECONDS,
+)
 from ibishead.routing.messages import (
     AskTurn,
     BeginUse,
@@ -237,8 +242,8 @@
         await asyncio.gather(*self._link_tasks.values(), return_exceptions=True)
 
     async def _maintain_link(self, endpoint: Endpoint, member: MemberRecord) -> None:
-        delay, last_linked = REDIAL_FIRST, self._clock.monotonic()
-        while self._clock.monotonic() - last_linked < FORGET_AFTER:
+        delay, last_linked = REDIAL_MIN_SECONDS, self._clock.monotonic()
+        while self._clock.monotonic() - last_linked < FORGET_AFTER_SECONDS:
             try:
                 link = await self._dial(
                     endpoint,
@@ -255,11 +260,11 @@
                     # The host responds, so the engine on it may work.
                     self._timed_out.discard(member.target)
             else:
-                delay = REDIAL_FIRST
+                delay = REDIAL_MIN_SECONDS
                 await self._receive(member.target, link)
                 last_linked = self._clock.monotonic()
             await asyncio.sleep(delay)
-            delay = min(2 * delay, REDIAL_MOST)
+            delay = min(2 * delay, REDIAL_MAX_SECONDS)
         self._timed_out.discard(member.target)
         del self._link_tasks[endpoint]
 
--- a/tests/proofs/test_promises.py
+++ b/tests/proofs/test_promises.py
@@ -22,7 +22,7 @@
     expect_text,
 )
 
-from ibishead.entry.dispatching import REACH_PATIENCE
+from ibishead.entry.dispatching import REACH_TIMEOUT_SECONDS
 from ibishead.ids import HostId
 from ibishead.messages import Outcome
 
@@ -202,7 +202,7 @@
 
 
 #: Duration of a partition that exceeds the time a request waits for a target.
-OUTAGE_SECONDS = 4.0 + REACH_PATIENCE
+OUTAGE_SECONDS = 4.0 + REACH_TIMEOUT_SECONDS
 
 
 def list_outcomes(*steps) -> list[Outcome | None]:
