--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import msgspec
-from tests.processes.fleet import Fleet, Shape
+from tests.processes.fleet import Fleet, FleetOptions
 from tests.processes.programs import LOOPBACK, Program, wait_until
 
 from benchmarks.process_usage import read_cpu, read_memory
@@ -132,10 +132,10 @@
     """Return the cost of one adapter in a service document, by role."""
     before = await _sample(fleet)
     names = "".join(f"net-{n:05d} = v1\n" for n in range(ADAPTERS))
-    text = (await fleet.operate("GET", "/v1/documents/mester")).value["text"]
+    text = (await fleet.call_operator_api("GET", "/v1/documents/mester")).value["text"]
     document = str(text).replace("[adapters]\n", f"[adapters]\n{names}", 1)
     target = "/v1/documents/mester?base=1&submission=many"
-    reply = await fleet.operate("POST", target, document.encode())
+    reply = await fleet.call_operator_api("POST", target, document.encode())
     if reply.status != 200:
         raise SystemExit(f"document update failed: {reply}")
     await fleet.wait_in_force(reply.value["index"])
@@ -249,7 +249,7 @@
 
     :param folder: directory for the files of the programs.
     """
-    fleet = Fleet(folder, Shape(entries=1, engines=1))
+    fleet = Fleet(folder, FleetOptions(entries=1, engines=1))
     try:
         await fleet.start()
         await fleet.submit_all()
--- a/benchmarks/bench_path.py
+++ b/benchmarks/bench_path.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import msgspec
-from tests.processes.fleet import Fleet, Shape
+from tests.processes.fleet import Fleet, FleetOptions
 from tests.processes.programs import LOOPBACK, Program
 from websockets.asyncio.client import connect
 from websockets.asyncio.server import ServerConnection, serve
@@ -90,7 +90,7 @@
 
 async def measure_requests(folder: Path) -> tuple[Cost, float]:
     """Return the CPU milliseconds per request by program, and of the pass-through."""
-    fleet = Fleet(folder, Shape(entries=1, engines=1, batch=64, token_time=0.0))
+    fleet = Fleet(folder, FleetOptions(entries=1, engines=1, batch=64, token_time=0.0))
     pass_through = _make_pass_through(folder)
     try:
         await fleet.start()
@@ -130,7 +130,7 @@
     # With a full batch a step of the stand-in engine takes 1.5 times the token time,
     # and its own work for 100 streams takes about a fifth of the token interval.
     token_time = STREAMS / TOKENS_PER_SECOND / 1.5 * 0.8
-    shape = Shape(entries=1, engines=1, batch=STREAMS, token_time=token_time)
+    shape = FleetOptions(entries=1, engines=1, batch=STREAMS, token_time=token_time)
     fleet = Fleet(folder, shape)
     try:
         await fleet.start()
