--- a/src/ibishead/agent/scheduler.py
+++ b/src/ibishead/agent/scheduler.py
@@ -207,9 +207,9 @@
             draining=self.draining,
             healthy=self.healthy,
             seconds_per_load=self._loader.seconds_per_load,
-            wishes=self._loader.count_pending_loads(),
+            pending_loads=self._loader.count_pending_loads(),
             free_slots=max(self._loader.count_available_slots(), 0),
-            coldest=self._loader.estimate_coldest_reuse(),
+            coldest_reuse=self._loader.estimate_coldest_reuse(),
             stalled=sum(not self._is_ready(attempt) for attempt in queued),
         )
 
--- a/src/ibishead/decisions/views.py
+++ b/src/ibishead/decisions/views.py
@@ -213,9 +213,10 @@
             reachable=view.reachable,
             draining=report.draining,
             seconds_per_load=report.seconds_per_load,
-            pending_loads=report.wishes + len(loading.difference(report.loading)),
+            pending_loads=report.pending_loads
+            + len(loading.difference(report.loading)),
             free_slots=report.free_slots,
-            coldest=report.coldest,
+            coldest=report.coldest_reuse,
             stalled=report.stalled + sum(adapter not in resident for adapter in own),
         )
         self._index.set_held(view.target, resident | loading)
--- a/src/ibishead/entry/agents.py
+++ b/src/ibishead/entry/agents.py
@@ -162,7 +162,7 @@
         self.record = record
         self._retired = False
         if address_changed and self._link is not None:
-            self._link.end()
+            self._link.abort()
 
     def dispatch(self, dispatch: Dispatch) -> AttemptChannel:
         """Send an attempt to the agent.
@@ -204,7 +204,7 @@
         if not channels:
             self._channels.pop(key, None)
         if self._retired and self.idle and self._link is not None:
-            self._link.end()
+            self._link.abort()
 
     def retire(self) -> None:
         """Send no new attempts; open ones continue while the agent responds.
@@ -213,7 +213,7 @@
         """
         self._retired = True
         if self.idle and self._link is not None:
-            self._link.end()
+            self._link.abort()
 
     async def stop(self, reason: str) -> None:
         """End all open attempts as lost and close the link."""
--- a/src/ibishead/entry/pipeline.py
+++ b/src/ibishead/entry/pipeline.py
@@ -137,7 +137,7 @@
         self._placer.begin(job.resolved)
         counted = job.resolved
         task = asyncio.create_task(self._answer(runner(job), job))
-        caller_gone = asyncio.create_task(exchange.gone.wait())
+        caller_gone = asyncio.create_task(exchange.disconnected.wait())
         try:
             await asyncio.wait({task, caller_gone}, return_when=asyncio.FIRST_COMPLETED)
             # A non-idempotent request is not cancelled: its outcome is recorded for the
--- a/src/ibishead/gateway/pipeline.py
+++ b/src/ibishead/gateway/pipeline.py
@@ -201,7 +201,7 @@
         self, request: RequestState, exchange: Exchange
     ) -> None:
         task = asyncio.create_task(self._send_until_answered(request))
-        caller_left = asyncio.create_task(exchange.gone.wait())
+        caller_left = asyncio.create_task(exchange.disconnected.wait())
         wait = max(0.0, request.deadline - self._clock.monotonic())
         try:
             await asyncio.wait(
--- a/src/ibishead/gateway/stewards.py
+++ b/src/ibishead/gateway/stewards.py
@@ -278,10 +278,10 @@
         finally:
             if self._links.get(address) is link:
                 del self._links[address]
-                if link.silenced:
+                if link.timed_out:
                     self._timed_out.add(address)
             self._cancel_turns(address)
-            link.end()
+            link.abort()
             logger.info("steward link lost", extra={"peer": link.peer.host})
 
     def _handle(self, message: Message) -> None:
--- a/src/ibishead/routing/feed.py
+++ b/src/ibishead/routing/feed.py
@@ -14,7 +14,7 @@
 from ibishead.clock import Clock
 from ibishead.errors import IbisheadError, LinkLost
 from ibishead.ids import HostId, ServiceName
-from ibishead.links import Dialer, Endpoint, Link, Pace, dial
+from ibishead.links import Dialer, Endpoint, HeartbeatTiming, Link, dial
 from ibishead.messages import Hello, Message, Role
 from ibishead.routing.changes import RouteChange, apply_change, unpack
 from ibishead.routing.messages import (
@@ -39,7 +39,7 @@
 
 #: Heartbeat settings of a link to a registry. A silent link must be replaced soon,
 #: because it delivers no updates of what is in force elsewhere.
-FEED_PACE = Pace(interval=0.9, silence=2.4, mutual=True)
+FEED_PACE = HeartbeatTiming(interval=0.9, timeout=2.4, mutual=True)
 
 #: Initial and maximum delay between two attempts to reach a registry.
 REDIAL_MIN_SECONDS = 0.1
@@ -221,7 +221,7 @@
         finally:
             del self.links[endpoint]
             self._offered_versions.pop(endpoint, None)
-            link.end()
+            link.abort()
             logger.info("registry disconnected", extra={"peer": link.peer.host})
 
     def _handle_message(self, endpoint: Endpoint, link: Link, message: Message) -> None:
--- a/tests/entry/test_protection.py
+++ b/tests/entry/test_protection.py
@@ -36,7 +36,7 @@
 
 def resolve_call(text, method, path, headers=()):
     catalog = Catalog()
-    catalog.offer(DocumentRecord("raktar", "halo", 1, text))
+    catalog.store_document(DocumentRecord("raktar", "halo", 1, text))
     request = WebRequest(method, f"/services/raktar{path}", "", headers)
     return resolve(parse_call(request), catalog)
 
--- a/tests/gateway/test_pipeline.py
+++ b/tests/gateway/test_pipeline.py
@@ -80,7 +80,7 @@
 
 
 async def never_respond(exchange: Exchange, request: str) -> None:
-    await exchange.gone.wait()
+    await exchange.disconnected.wait()
 
 
 async def stream_completely(exchange: Exchange, request: str) -> None:
@@ -94,7 +94,7 @@
 
 async def stream_and_stall(exchange: Exchange, request: str) -> None:
     await _stream(exchange, request, 2, b"id: 3\nda")
-    await exchange.gone.wait()
+    await exchange.disconnected.wait()
 
 
 async def _stream(
--- a/tests/gateway/test_stewards.py
+++ b/tests/gateway/test_stewards.py
@@ -43,7 +43,7 @@
     def __init__(self, answers) -> None:
         self.peer = Hello(Role.AGENT, HostId("side"))
         self.closed = False
-        self.silenced = False
+        self.timed_out = False
         self.sent: list = []
         self.inbox: asyncio.Queue = asyncio.Queue()
         self._answers = answers
@@ -58,7 +58,7 @@
         while (message := await self.inbox.get()) is not None:
             yield message
 
-    def end(self) -> None:
+    def abort(self) -> None:
         self.closed = True
 
 
@@ -174,7 +174,7 @@
     """Prompts must not be sent to a host that has been frozen for seconds."""
     async with Fixture(lambda n: []) as fixture:
         fixture.dial_error = dial_error
-        fixture.link.silenced = silenced
+        fixture.link.timed_out = silenced
         fixture.link.inbox.put_nowait(None)
         await asyncio.sleep(0.3)
         assert fixture.links.is_unresponsive(ADDRESS) is mute
--- a/tests/operator/test_client.py
+++ b/tests/operator/test_client.py
@@ -17,7 +17,7 @@
 
 
 async def never_respond(exchange):
-    await exchange.gone.wait()
+    await exchange.disconnected.wait()
 
 
 async def respond(exchange):
